--- a/pkg/traffic/outcome_test.go
+++ b/pkg/traffic/outcome_test.go
@@ -16,6 +16,10 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
 
+// allowedTime is the time allowed to a request whose deadline passes in a stage: the stages before
+// take milliseconds, or some tens of them on a busy machine.
+const allowedTime = time.Second
+
 var _ = Describe("a request", func() {
 	var b *bench
 
@@ -137,23 +141,42 @@
 		Expect(result.Stages[3].Done).To(BeFalse())
 	})
 
-	DescribeTable("whose deadline passes in a stage has its answer then, and it is true",
+	// runPastDeadline runs a request whose endpoints of a service freeze, and checks when its result
+	// is out and how many stages have finished.
+	runPastDeadline := func(ctx context.Context, service string, ranBefore int) request.Result {
+		b.fault(service, standin.EndpointFaults{Freeze: true, FreezeAfterTokens: 1})
+		began := time.Now()
+		result := b.executor.Run(ctx, call("bulletin", allowedTime), nil)
+		Expect(time.Since(began)).To(BeNumerically("~", allowedTime, 60*time.Millisecond))
+		Expect(result.Problem.Kind).To(Or(Equal(problem.Deadline), Equal(problem.Unavailable)))
+		done := 0
+		for _, s := range result.Stages {
+			if s.Done {
+				done++
+			}
+		}
+		Expect(done).To(Equal(ranBefore))
+		return result
+	}
+
+	DescribeTable("whose deadline passes in a stage has its answer then, and it is true: unknown while a cancellation is not confirmed",
 		func(service string, ranBefore int) {
-			b.fault(service, standin.EndpointFaults{Freeze: true, FreezeAfterTokens: 1})
-			// The stages before take milliseconds, or some tens of them on a busy machine.
-			const allowed = time.Second
-			began := time.Now()
-			result := b.run(call("bulletin", allowed))
-			Expect(time.Since(began)).To(BeNumerically("~", allowed, 60*time.Millisecond))
+			b.cancels.hold.Store(true)
+			result := runPastDeadline(context.Background(), service, ranBefore)
 			Expect(result.Outcome).To(Equal(request.Unknown))
-			Expect(result.Problem.Kind).To(Or(Equal(problem.Deadline), Equal(problem.Unavailable)))
-			done := 0
-			for _, s := range result.Stages {
-				if s.Done {
-					done++
-				}
-			}
-			Expect(done).To(Equal(ranBefore))
+		},
+		Entry("encoding", "encoder", 0),
+		Entry("retrieval", "archive", 1),
+		Entry("reranking", "reranker", 2),
+		Entry("generation", "engine", 3),
+	)
+
+	DescribeTable("whose deadline passes in a stage has its answer then, and it is true: failed once the cancellations are confirmed",
+		func(service string, ranBefore int) {
+			b.cancels.keepDeadlines.Store(true)
+			b.clock.beforeStageEnd.Store(func() { b.executor.Close() })
+			result := runPastDeadline(keptDeadline{Context: context.Background(), deadline: time.Now().Add(allowedTime)}, service, ranBefore)
+			Expect(result.Outcome).To(Equal(request.Failed))
 		},
 		Entry("encoding", "encoder", 0),
 		Entry("retrieval", "archive", 1),
--- a/pkg/traffic/suite_test.go
+++ b/pkg/traffic/suite_test.go
@@ -36,6 +36,7 @@
 // and a plain one.
 type bench struct {
 	cancels  heldCancels
+	clock    stageEndClock
 	site     *standin.Site
 	executor *traffic.Executor
 	ring     *timeline.Ring
@@ -61,6 +62,8 @@
 type heldCancels struct {
 	endpoint.Caller
 	hold atomic.Bool
+	// keepDeadlines ends each call at its own deadline, whatever its context says.
+	keepDeadlines atomic.Bool
 }
 
 // Cancel implements endpoint.Caller.
@@ -72,6 +75,59 @@
 	return c.Caller.Cancel(ctx, address, attempt)
 }
 
+// Call implements endpoint.Caller.
+func (c *heldCancels) Call(ctx context.Context, address string, call endpoint.Call) (endpoint.Answer, error) {
+	ctx, stop := c.bound(ctx, call)
+	defer stop()
+	return c.Caller.Call(ctx, address, call)
+}
+
+// Generate implements endpoint.Caller.
+func (c *heldCancels) Generate(ctx context.Context, address string, call endpoint.Call, prior []endpoint.Token, sink func(endpoint.Token) error) (endpoint.Answer, error) {
+	ctx, stop := c.bound(ctx, call)
+	defer stop()
+	return c.Caller.Generate(ctx, address, call, prior, sink)
+}
+
+// bound returns the context of a call. It uses a timer, since a context that has a keptDeadline
+// above it sets none.
+func (c *heldCancels) bound(ctx context.Context, call endpoint.Call) (context.Context, func()) {
+	ctx, cancel := context.WithCancel(ctx)
+	if !c.keepDeadlines.Load() {
+		return ctx, cancel
+	}
+	timer := time.AfterFunc(time.Until(call.Deadline), cancel)
+	return ctx, func() {
+		timer.Stop()
+		cancel()
+	}
+}
+
+// keptDeadline is a context that names a deadline and does not end at it, so that the contexts
+// derived from it end by their calls alone.
+type keptDeadline struct {
+	context.Context
+	deadline time.Time
+}
+
+// Deadline implements context.Context.
+func (c keptDeadline) Deadline() (time.Time, bool) { return c.deadline, true }
+
+// stageEndClock calls a function before a stage reports its end: the executor reads the time since
+// the stage's start there and nowhere else.
+type stageEndClock struct {
+	clockwork.Clock
+	beforeStageEnd atomic.Value
+}
+
+// Since implements clockwork.Clock.
+func (c *stageEndClock) Since(t time.Time) time.Duration {
+	if f, ok := c.beforeStageEnd.Load().(func()); ok {
+		f()
+	}
+	return c.Clock.Since(t)
+}
+
 func newBench() *bench {
 	b, stop := startBench()
 	DeferCleanup(stop)
@@ -97,6 +153,7 @@
 	b.site, err = standin.StartSite(settings)
 	must(err)
 	clock := clockwork.NewRealClock()
+	b.clock.Clock = clock
 	b.ring = timeline.NewRing("test", timeline.NewClock(clock), ringEvents)
 	client := openinference.New(1 << 20)
 	b.cancels.Caller = client
@@ -110,7 +167,7 @@
 			b.leaving = append(b.leaving, e.Name)
 		},
 		Caller:      &b.cancels,
-		Clock:       clock,
+		Clock:       &b.clock,
 		Ring:        b.ring,
 		Log:         logging.Discard().For("traffic"),
 		Metrics:     traffic.NewMetrics(metrics.NewSet()),
