--- a/pkg/decision/admission.go
+++ b/pkg/decision/admission.go
@@ -6,21 +6,20 @@
 	"time"
 )
 
-// Step is one stage of a request's way.
+// Step is one stage of a request's pipeline.
 type Step struct {
 	Pool *Pool
-	// Inputs are the indices of the steps whose results this one needs.
+	// Inputs are the indices of the steps whose results this step depends on.
 	Inputs []int
 }
 
-// Plan is the way of a request through its stages. Steps come after their inputs
-// in the graph, though not always in the list.
+// Plan is the dependency graph of the stages of a pipeline. The steps may be listed in any order.
 type Plan struct {
 	steps []Step
-	order []int // each after its inputs
+	order []int // topological order
 }
 
-// NewPlan returns the plan of the steps, which must not form a cycle.
+// NewPlan returns the plan for steps, which must not form a cycle.
 func NewPlan(steps []Step) *Plan {
 	p := &Plan{steps: steps}
 	placed := make([]bool, len(steps))
@@ -48,59 +47,58 @@
 	return true
 }
 
-// Caution says how many deviations above the usual time a request must be able to
-// take. Cost first wants to be surer that what it starts will end in time.
+// SafetyFactor is the number of standard deviations that admission adds to the estimated latency
+// of a request. A larger value rejects more of the requests that may miss their deadline.
 type Caution float64
 
-// The cautions of the two objectives.
+// Safety factors for the two objectives.
 const (
 	AttainmentCaution Caution = 0.75
 	CostCaution       Caution = 1
 )
 
-// Admission is an admitted request's place in the backlog of each step's pool.
+// Admission tracks the pending stages of an admitted request in the backlogs of their pools.
 type Admission struct {
-	mu    sync.Mutex
-	plan  *Plan
-	work  Work
-	stood []bool // which steps still stand in the backlog
+	mu      sync.Mutex
+	plan    *Plan
+	work    Work
+	pending []bool // indexed by step; true while the step counts in its pool's backlog
 }
 
-// Admit decides whether a request should run at all: refused early, it costs
-// nothing; refused after three stages, it has cost three. The work's Deadline is
-// the request's. Only a pool's baseline policies admit everything.
+// Admit rejects a request that is unlikely to meet work.Deadline before any stage runs, so that it
+// uses no endpoint time. Pools with a baseline policy admit every request.
 func (p *Plan) Admit(now time.Time, work Work, caution Caution) (*Admission, *Refusal) {
-	needed, idle, refusal := p.needed(now, &work, caution)
+	latency, idle, refusal := p.estimateLatency(now, &work, caution)
 	if refusal != nil {
 		return nil, refusal
 	}
-	if late := needed - work.Deadline.Sub(now); late > 0 && !idle {
+	if excess := latency - work.Deadline.Sub(now); excess > 0 && !idle {
 		for _, step := range p.steps {
-			step.Pool.press(now)
+			step.Pool.noteShortage(now)
 		}
-		return nil, &Refusal{Reason: TooLate, RetryAfter: late}
+		return nil, &Refusal{Reason: TooLate, RetryAfter: excess}
 	}
 	if !work.Deadline.After(now) {
 		return nil, &Refusal{Reason: TooLate}
 	}
-	a := &Admission{plan: p, work: work, stood: make([]bool, len(p.steps))}
+	a := &Admission{plan: p, work: work, pending: make([]bool, len(p.steps))}
 	for i, step := range p.steps {
-		step.Pool.enter(&work)
-		a.stood[i] = true
+		step.Pool.addToBacklog(&work)
+		a.pending[i] = true
 	}
 	return a, nil
 }
 
-// needed is the time that the longest way through the steps will likely take. It
-// is idle if nothing is on its way to any of the pools: such a request always
-// runs, since without it an estimate that is too high would never be corrected.
-func (p *Plan) needed(now time.Time, work *Work, caution Caution) (needed time.Duration, idle bool, refusal *Refusal) {
+// estimateLatency estimates the latency of the critical path through the steps. It reports idle if
+// no pool on the path has a backlog; such a request is always admitted, because an estimate that
+// is too high would otherwise never be corrected.
+func (p *Plan) estimateLatency(now time.Time, work *Work, caution Caution) (latency time.Duration, idle bool, refusal *Refusal) {
 	ends := make([]float64, len(p.steps))
 	variances := make([]float64, len(p.steps))
 	worst, idle := 0.0, true
 	for _, i := range p.order {
 		f := p.steps[i].Pool.forecast(now, work)
-		if f.none {
+		if f.noEndpoint {
 			return 0, false, &Refusal{Reason: NoEndpoint}
 		}
 		idle = idle && f.idle
@@ -117,10 +115,10 @@
 	return seconds(worst), idle, nil
 }
 
-// forecast is what a pool holds for new work, in seconds.
+// forecast is the expected wait and service time for new work in a pool, in seconds.
 type forecast struct {
 	wait, mean, deviation float64
-	none, idle            bool
+	noEndpoint, idle      bool
 }
 
 func (p *Pool) forecast(now time.Time, work *Work) forecast {
@@ -128,7 +126,7 @@
 	defer p.mu.Unlock()
 	p.readmit(now)
 	if p.live == 0 {
-		return forecast{none: true}
+		return forecast{noEndpoint: true}
 	}
 	if p.config.Policy != Adaptive {
 		return forecast{idle: true}
@@ -144,9 +142,9 @@
 	return f
 }
 
-// rate is how many calls a second end for this instance: as many as its share of the
-// endpoints can do, or as what is in flight shows, whichever is more. In flight are
-// rate times usual time, however many others use the endpoints (Little's law).
+// rate estimates how many calls per second complete for this instance: the larger of the rate that
+// its share of the endpoints can sustain and the rate implied by the calls in flight. By Little's
+// law, the latter is the number in flight divided by the mean latency.
 func (p *Pool) rate(now time.Time, slots float64) float64 {
 	service, _ := p.service.at(now)
 	latency, _ := p.latency.at(now)
@@ -156,51 +154,51 @@
 	return max(slots/service, float64(p.inFlight)/latency)
 }
 
-func (p *Pool) enter(work *Work) {
+func (p *Pool) addToBacklog(work *Work) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.backlog.add(work)
 }
 
-func (p *Pool) leave(work *Work) {
+func (p *Pool) removeFromBacklog(work *Work) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.backlog.remove(work)
 }
 
-// StageDone says that the step at index i has ended.
+// StageDone removes the step at index i from its pool's backlog.
 func (a *Admission) StageDone(i int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.stood[i] {
+	if !a.pending[i] {
 		return
 	}
-	a.stood[i] = false
-	a.plan.steps[i].Pool.leave(&a.work)
+	a.pending[i] = false
+	a.plan.steps[i].Pool.removeFromBacklog(&a.work)
 }
 
-// Close says that the request has ended, however it did.
+// Close removes all remaining steps of the request from the backlogs.
 func (a *Admission) Close() {
 	for i := range a.plan.steps {
 		a.StageDone(i)
 	}
 }
 
-// StageDeadline is when the step at index i must have ended: the request's
-// deadline less what the steps after it usually take.
+// StageDeadline returns the time by which the step at index i must finish: the request's deadline
+// minus the expected latency of the steps that depend on it.
 func (p *Plan) StageDeadline(now time.Time, i int, deadline time.Time) time.Time {
-	return deadline.Add(-seconds(p.after(now, i)))
+	return deadline.Add(-seconds(p.remainingLatency(now, i)))
 }
 
-// after is the usual time of the longest way behind a step, in seconds.
-func (p *Plan) after(now time.Time, i int) float64 {
-	behind := make([]float64, len(p.steps))
+// remainingLatency is the expected latency of the longest path after step i, in seconds.
+func (p *Plan) remainingLatency(now time.Time, i int) float64 {
+	remaining := make([]float64, len(p.steps))
 	for k := len(p.order) - 1; k >= 0; k-- {
 		j := p.order[k]
 		mean, _ := p.steps[j].Pool.Latency(now)
 		for _, input := range p.steps[j].Inputs {
-			behind[input] = max(behind[input], behind[j]+mean.Seconds())
+			remaining[input] = max(remaining[input], remaining[j]+mean.Seconds())
 		}
 	}
-	return behind[i]
+	return remaining[i]
 }
--- a/pkg/decision/admission_test.go
+++ b/pkg/decision/admission_test.go
@@ -11,7 +11,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/decision"
 )
 
-// warm teaches a pool how long its calls take.
+// warm trains the latency estimates of a pool.
 func warm(p *decision.Pool, took time.Duration) {
 	for range 40 {
 		finish(p, granted(p.Acquire(start, work("warm"))), took)
@@ -36,7 +36,7 @@
 		return plan.Admit(start, w, decision.AttainmentCaution)
 	}
 
-	It("refuses before any stage what the later stages have no room for", func() {
+	It("rejects before the first stage when a later stage has no capacity", func() {
 		var admitted []*decision.Admission
 		for {
 			a, refusal := admit("a", 250*time.Millisecond)
@@ -48,16 +48,16 @@
 			admitted = append(admitted, a)
 			Expect(len(admitted)).To(BeNumerically("<", 50))
 		}
-		By("four run at once and each round takes 100 ms: about two rounds fit")
+		By("four calls run concurrently for 100 ms each, so about two rounds meet the deadline")
 		Expect(len(admitted)).To(BeNumerically("~", 8, 3))
-		By("room that is given back can be had again")
+		By("closing an admission releases its capacity")
 		admitted[0].Close()
 		admitted[0].Close()
 		_, refusal := admit("a", 250*time.Millisecond)
 		Expect(refusal).To(BeNil())
 	})
 
-	It("admits a small organisation while a large one floods", func() {
+	It("admits a small organisation while a large one is overloaded", func() {
 		for range 100 {
 			admit("large", 250*time.Millisecond)
 		}
@@ -67,7 +67,7 @@
 		Expect(refusal).To(BeNil())
 	})
 
-	It("always tries one when idle, so that a wrong estimate corrects itself", func() {
+	It("admits a request while idle regardless of the estimate", func() {
 		a, refusal := admit("a", 20*time.Millisecond)
 		Expect(refusal).To(BeNil())
 		_, refusal = admit("a", 20*time.Millisecond)
@@ -75,7 +75,7 @@
 		a.Close()
 	})
 
-	It("refuses what is past its deadline, and what no endpoint could run", func() {
+	It("rejects requests past their deadline and requests without a live endpoint", func() {
 		_, refusal := admit("a", 0)
 		Expect(refusal.Reason).To(Equal(decision.TooLate))
 		generate.Update(start, 2, nil)
@@ -83,17 +83,17 @@
 		Expect(refusal.Reason).To(Equal(decision.NoEndpoint))
 	})
 
-	It("keeps for the later stages the time they usually take", func() {
+	It("reserves the expected latency of the later stages", func() {
 		deadline := start.Add(time.Second)
 		Expect(plan.StageDeadline(start, 0, deadline)).To(BeTemporally("~", deadline.Add(-100*time.Millisecond), 5*time.Millisecond))
 		Expect(plan.StageDeadline(start, 1, deadline)).To(Equal(deadline))
 	})
 })
 
-var _ = Describe("any order of calls", func() {
-	// Whatever happens, no endpoint has more calls than its concurrency, no grant
-	// goes to a leaving one, and each waiter gets one verdict at most.
-	It("keeps the pool's bounds", func() {
+var _ = Describe("random operations on a pool", func() {
+	// No endpoint exceeds its concurrency, no leaving endpoint gets a new grant, and each waiter
+	// gets at most one result.
+	It("preserve the pool's invariants", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			concurrency := rapid.IntRange(1, 3).Draw(t, "concurrency")
 			list := endpoints(rapid.IntRange(1, 4).Draw(t, "endpoints"), "here")
@@ -105,7 +105,7 @@
 			leaving := map[string]bool{}
 			take := func(g *decision.Grant, fresh bool) {
 				if fresh && leaving[g.Endpoint.Name] {
-					t.Fatalf("granted leaving %s", g.Endpoint.Name)
+					t.Fatalf("granted a call to leaving endpoint %s", g.Endpoint.Name)
 				}
 				grants = append(grants, g)
 			}
--- a/pkg/decision/backlog.go
+++ b/pkg/decision/backlog.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// backlog counts the admitted requests that have not yet finished a pool's stage,
-// wherever on their way they are. It is what new work would wait behind.
+// backlog counts the admitted requests that have not finished a pool's stage yet, including those
+// still in an earlier stage.
 type backlog struct {
 	classes []*backlogClass // highest rank first
 }
@@ -11,7 +11,7 @@
 type backlogClass struct {
 	rank   uint32
 	total  int
-	weight float64 // of the organisations with any
+	weight float64 // sum over the organisations in counts
 	counts map[string]*backlogCount
 }
 
@@ -59,9 +59,8 @@
 	c.weight -= count.weight
 }
 
-// ahead returns how many requests would be served before new work of this kind:
-// all of higher classes, and of its own class the smaller of all, and what the
-// others are served while its organisation's own come to their turn.
+// ahead estimates how many requests are served before new work w: all requests of higher classes
+// and, within its own class, the share that fair queueing serves first, at most the whole class.
 func (b *backlog) ahead(w *Work) float64 {
 	sum := 0.0
 	for _, c := range b.classes {
@@ -69,13 +68,13 @@
 			sum += float64(c.total)
 		}
 		if c.rank == w.Rank {
-			sum += min(float64(c.total), c.fairAhead(w))
+			sum += min(float64(c.total), c.fairShareAhead(w))
 		}
 	}
 	return sum
 }
 
-func (c *backlogClass) fairAhead(w *Work) float64 {
+func (c *backlogClass) fairShareAhead(w *Work) float64 {
 	weight := max(w.Weight, 1)
 	own, others := 0, c.weight
 	if count := c.counts[w.Organisation]; count != nil {
--- a/pkg/decision/baseline.go
+++ b/pkg/decision/baseline.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// acquireBaseline chooses by one of the simple policies that the adaptive one is
-// measured against: at once, among all live endpoints that were not tried.
+// acquireBaseline applies a baseline policy: it selects among all live, untried endpoints without
+// queueing.
 func (p *Pool) acquireBaseline(now time.Time, work Work) Verdict {
 	var candidates []*target
 	for _, t := range p.order {
@@ -25,8 +25,8 @@
 func (p *Pool) pick(candidates []*target) *target {
 	switch p.config.Policy {
 	case RoundRobin:
-		p.turn++
-		return candidates[p.turn%len(candidates)]
+		p.roundRobinCounter++
+		return candidates[p.roundRobinCounter%len(candidates)]
 	case LeastInFlight:
 		return p.leastInFlight(candidates)
 	default:
@@ -34,8 +34,8 @@
 	}
 }
 
-// leastInFlight returns the candidate with the fewest calls of this instance, ties
-// broken by a random first place.
+// leastInFlight returns the candidate with the fewest calls in flight from this instance. It
+// starts at a random index to break ties.
 func (p *Pool) leastInFlight(candidates []*target) *target {
 	first := p.random.IntN(len(candidates))
 	best := candidates[first]
--- a/pkg/decision/bench_test.go
+++ b/pkg/decision/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/decision"
 )
 
-// BenchmarkAcquire measures one decision and its end, at the fleet sizes of docs/CAPACITY.md.
+// BenchmarkAcquire measures Acquire followed by Finish at the fleet sizes in docs/CAPACITY.md.
 func BenchmarkAcquire(b *testing.B) {
 	for _, n := range []int{50, 500, 5000, 12000} {
 		for _, busy := range []float64{0, 0.9} {
@@ -36,7 +36,7 @@
 	}
 }
 
-// BenchmarkAdmit measures the admission of a request of four stages.
+// BenchmarkAdmit measures admission of a four-stage request.
 func BenchmarkAdmit(b *testing.B) {
 	for _, n := range []int{50, 12000} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// BenchmarkEndpointMemory gives the heap that a pool takes for each endpoint.
+// BenchmarkEndpointMemory reports the heap usage per endpoint.
 func BenchmarkEndpointMemory(b *testing.B) {
 	const n = 12_000
 	for b.Loop() {
--- a/pkg/decision/choose.go
+++ b/pkg/decision/choose.go
@@ -5,17 +5,17 @@
 )
 
 const (
-	// draws is how many available targets are drawn before the best is taken. Two
-	// avoid herding on the one that looks best to everyone (Mitzenmacher, 2001).
-	draws = 2
-	// maxDraws bounds the draws when some prove unfit.
-	maxDraws = 8
-	// maxScan bounds the targets looked at in turn when no draw was fit.
+	// sampleSize is the number of eligible targets compared per selection. Two random choices
+	// avoid herding on the target with the best score (Mitzenmacher, 2001).
+	sampleSize = 2
+	// maxSamples bounds the random draws, including ineligible targets.
+	maxSamples = 8
+	// maxScan bounds the linear scan that follows when no draw was eligible.
 	maxScan = 64
 )
 
-// choose returns the target for work, or nil if none is free. Local targets go
-// first; the others take what the local ones have no room for.
+// choose returns the target for work, or nil if none is available. It prefers local targets and
+// uses remote ones when no local target is eligible.
 func (p *Pool) choose(now time.Time, work *Work) *target {
 	poolMean, _ := p.service.at(now)
 	if t := p.sample(now, p.local, work, poolMean); t != nil {
@@ -24,27 +24,27 @@
 	return p.sample(now, p.remote, work, poolMean)
 }
 
-// sample returns the best of a few targets drawn at random.
+// sample returns the best of a few randomly drawn targets.
 func (p *Pool) sample(now time.Time, list []*target, work *Work, poolMean float64) *target {
 	if len(list) == 0 {
 		return nil
 	}
-	if len(list) <= draws {
+	if len(list) <= sampleSize {
 		return p.scan(now, list, work, poolMean)
 	}
 	var best *target
 	bestScore := 0.0
-	fit := 0
-	for range maxDraws {
+	found := 0
+	for range maxSamples {
 		t := list[p.random.IntN(len(list))]
-		if t == best || !p.fit(now, t, work, poolMean) {
+		if t == best || !p.eligible(now, t, work, poolMean) {
 			continue
 		}
 		score := t.score(now, poolMean)
 		if best == nil || score < bestScore {
 			best, bestScore = t, score
 		}
-		if fit++; fit == draws {
+		if found++; found == sampleSize {
 			break
 		}
 	}
@@ -54,14 +54,14 @@
 	return p.scan(now, list, work, poolMean)
 }
 
-// scan returns the best of the targets from a random place on.
+// scan returns the best target of a linear scan from a random index.
 func (p *Pool) scan(now time.Time, list []*target, work *Work, poolMean float64) *target {
 	var best *target
 	bestScore := 0.0
 	first := p.random.IntN(len(list))
 	for i := range min(len(list), maxScan) {
 		t := list[(first+i)%len(list)]
-		if !p.fit(now, t, work, poolMean) {
+		if !p.eligible(now, t, work, poolMean) {
 			continue
 		}
 		score := t.score(now, poolMean)
@@ -72,10 +72,10 @@
 	return best
 }
 
-// fit tells whether a target may do the work and would usually be in time. While
-// nothing is in flight all would be: see hopeless.
-func (p *Pool) fit(now time.Time, t *target, work *Work, poolMean float64) bool {
-	if work.excludes(t.Name) || now.Before(p.lacking[work.Model][t]) {
+// eligible reports whether a target may run the work and is expected to meet the deadline. The
+// deadline check is skipped while nothing is in flight; see infeasible.
+func (p *Pool) eligible(now time.Time, t *target, work *Work, poolMean float64) bool {
+	if work.excludes(t.Name) || now.Before(p.missing[work.Model][t]) {
 		return false
 	}
 	if t.latency.samples == 0 || p.inFlight == 0 {
--- a/pkg/decision/estimate.go
+++ b/pkg/decision/estimate.go
@@ -5,17 +5,16 @@
 	"time"
 )
 
-// The weights of a new sample in the smoothed mean and deviation (as in RFC 6298,
-// which smooths round-trip times the same way).
+// Smoothing factors for the mean and the mean deviation, as in RFC 6298.
 const (
 	meanGain      = 1.0 / 8
 	deviationGain = 1.0 / 4
-	// idleHalfLife is the time without samples after which an estimate counts
-	// half, so that a bad value does not keep itself by keeping work away.
+	// idleHalfLife is the time without samples after which an estimate starts to decay, and its
+	// half-life. Without decay, a high estimate would keep work away and never be corrected.
 	idleHalfLife = 5 * time.Second
 )
 
-// estimate is a smoothed mean and mean deviation of durations, in seconds.
+// estimate is an exponentially smoothed mean and mean deviation of durations, in seconds.
 type estimate struct {
 	mean      float64
 	deviation float64
@@ -23,7 +22,7 @@
 	samples   int
 }
 
-// add takes a sample at now.
+// add records a sample.
 func (e *estimate) add(now time.Time, d time.Duration) {
 	seconds := max(d.Seconds(), 0)
 	e.last = now
@@ -37,7 +36,7 @@
 	e.mean += meanGain * (seconds - e.mean)
 }
 
-// at returns mean and deviation as they count at now.
+// at returns the mean and deviation, decayed for the time since the last sample.
 func (e *estimate) at(now time.Time) (mean, deviation float64) {
 	idle := now.Sub(e.last)
 	if e.samples == 0 || idle <= idleHalfLife {
--- a/pkg/decision/health.go
+++ b/pkg/decision/health.go
@@ -5,106 +5,105 @@
 )
 
 const (
-	// ejectableShare bounds the share of endpoints that are ejected at a time.
-	ejectableShare = 0.5
-	// slowDeviations is how many mean deviations above the mean a call must take to
-	// count as failed when it is broken off.
+	// maxEjectedFraction bounds the fraction of live endpoints that are ejected at the same time.
+	maxEjectedFraction = 0.5
+	// slowDeviations is the number of mean deviations above the mean latency after which an
+	// abandoned call counts as a failure.
 	slowDeviations = 4
-	// retryShare is the share of retries in successful calls that the budget grants,
-	// and maxRetries what it saves up at most.
-	retryShare = 0.1
-	maxRetries = 10.0
+	// retryRatio is the number of retry tokens earned per successful call, and maxRetryTokens the
+	// capacity of the retry budget.
+	retryRatio     = 0.1
+	maxRetryTokens = 10.0
 )
 
-// learn takes in what a call told about its endpoint.
-func (p *Pool) learn(now time.Time, t *target, g *Grant, result Result) {
+// recordResult updates the health and latency statistics from a finished call.
+func (p *Pool) recordResult(now time.Time, t *target, g *Grant, result Result) {
 	switch result {
 	case Success:
 		took := now.Sub(g.start)
 		p.latency.add(now, took)
-		service := t.uncontended(took)
+		service := t.serviceTime(took)
 		t.latency.add(now, service)
 		p.service.add(now, service)
-		p.retries = min(maxRetries, p.retries+retryShare)
-		t.succeeded()
+		p.retryTokens = min(maxRetryTokens, p.retryTokens+retryRatio)
+		t.recordSuccess()
 	case Failure:
-		p.failed(now, t)
+		p.recordFailure(now, t)
 	case Unreachable:
 		p.eject(now, t)
 	case Busy:
-		t.lower(now)
+		t.reduceLimit(now)
 	case Draining:
 		if !t.Leaving && p.targets[t.Name] == t {
 			t.Leaving = true
 			p.live--
 		}
 	case Lacking:
-		p.lacks(now, t, g.work.Model)
+		p.recordMissingModel(now, t, g.work.Model)
 	case Abandoned:
-		p.abandoned(now, t, g)
+		p.recordAbandoned(now, t, g)
 	}
 }
 
-func (p *Pool) failed(now time.Time, t *target) {
+func (p *Pool) recordFailure(now time.Time, t *target) {
 	t.failures++
 	if t.failures >= failuresToEject || t.probation {
 		p.eject(now, t)
 	}
 }
 
-// abandoned learns from a call that was broken off. One that had already taken far
-// longer than usual counts as failed, with the time it took as a lower bound.
-func (p *Pool) abandoned(now time.Time, t *target, g *Grant) {
+// recordAbandoned handles a call that was cancelled. If it had already taken much longer than
+// usual, it counts as a failure, and its elapsed time is recorded as a lower bound of the latency.
+func (p *Pool) recordAbandoned(now time.Time, t *target, g *Grant) {
 	mean, deviation := p.latency.at(now)
 	took := now.Sub(g.start)
 	if p.latency.samples == 0 || took < seconds(mean+slowDeviations*deviation) {
 		return
 	}
 	t.latency.add(now, took)
-	p.failed(now, t)
+	p.recordFailure(now, t)
 }
 
-// eject takes a target out, unless too many are out.
+// eject ejects a target unless the ejection limit is reached.
 func (p *Pool) eject(now time.Time, t *target) {
-	if t.ejected() || float64(len(p.ejected)+1) > ejectableShare*float64(p.live) {
+	if t.ejected() || float64(len(p.ejected)+1) > maxEjectedFraction*float64(p.live) {
 		return
 	}
 	t.eject(now)
 	p.ejected = append(p.ejected, t)
-	if p.nextReturn.IsZero() || t.ejectedUntil.Before(p.nextReturn) {
-		p.nextReturn = t.ejectedUntil
+	if p.nextReadmission.IsZero() || t.ejectedUntil.Before(p.nextReadmission) {
+		p.nextReadmission = t.ejectedUntil
 	}
 }
 
-// readmit ends the ejections whose time is up.
+// readmit returns targets to service whose ejection has expired.
 func (p *Pool) readmit(now time.Time) {
-	if p.nextReturn.IsZero() || now.Before(p.nextReturn) {
+	if p.nextReadmission.IsZero() || now.Before(p.nextReadmission) {
 		return
 	}
-	p.nextReturn = time.Time{}
+	p.nextReadmission = time.Time{}
 	kept := p.ejected[:0]
 	for _, t := range p.ejected {
 		if !now.Before(t.ejectedUntil) {
 			t.readmit()
-			p.settle(t)
+			p.updateAvailability(t)
 			continue
 		}
 		kept = append(kept, t)
-		if p.nextReturn.IsZero() || t.ejectedUntil.Before(p.nextReturn) {
-			p.nextReturn = t.ejectedUntil
+		if p.nextReadmission.IsZero() || t.ejectedUntil.Before(p.nextReadmission) {
+			p.nextReadmission = t.ejectedUntil
 		}
 	}
 	p.ejected = kept
 }
 
-// TryRetry takes one retry from the budget, which successful calls fill, and tells
-// whether there was one.
+// TryRetry takes one token from the retry budget and reports whether one was available.
 func (p *Pool) TryRetry() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.retries < 1 {
+	if p.retryTokens < 1 {
 		return false
 	}
-	p.retries--
+	p.retryTokens--
 	return true
 }
--- a/pkg/decision/lacking.go
+++ b/pkg/decision/lacking.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// lackingLife is how long an endpoint's word counts that it does not hold a model.
-// Placement may bring the model there at any time.
-const lackingLife = 5 * time.Second
+// missingModelTTL is how long a target is skipped after it reported a model as missing. Placement
+// may load the model there at any time.
+const missingModelTTL = 5 * time.Second
 
-// lacks notes that a target does not hold a model.
-func (p *Pool) lacks(now time.Time, t *target, model string) {
-	targets := p.lacking[model]
+// recordMissingModel marks a model as missing at a target.
+func (p *Pool) recordMissingModel(now time.Time, t *target, model string) {
+	targets := p.missing[model]
 	if targets == nil {
 		targets = map[*target]time.Time{}
-		p.lacking[model] = targets
+		p.missing[model] = targets
 	}
-	targets[t] = now.Add(lackingLife)
+	targets[t] = now.Add(missingModelTTL)
 	if len(targets) > p.live {
-		dropOld(now, targets)
+		pruneMissing(now, targets)
 	}
 }
 
-// dropOld forgets targets whose word no longer counts, or that are gone.
-func dropOld(now time.Time, targets map[*target]time.Time) {
+// pruneMissing removes expired entries and leaving targets.
+func pruneMissing(now time.Time, targets map[*target]time.Time) {
 	maps.DeleteFunc(targets, func(t *target, until time.Time) bool {
 		return t.Leaving || now.After(until)
 	})
 }
 
-// allLack tells whether no live target is known that might hold a model.
-func (p *Pool) allLack(now time.Time, model string) bool {
-	targets := p.lacking[model]
+// allMissing reports whether every live target is marked as missing the model.
+func (p *Pool) allMissing(now time.Time, model string) bool {
+	targets := p.missing[model]
 	if model == "" || len(targets) < p.live {
 		return false
 	}
-	dropOld(now, targets)
+	pruneMissing(now, targets)
 	return len(targets) >= p.live
 }
--- a/pkg/decision/pool.go
+++ b/pkg/decision/pool.go
@@ -6,58 +6,57 @@
 	"time"
 )
 
-// maxPassedOver bounds the waiting work that is looked at because what comes before
-// it fits no free endpoint.
-const maxPassedOver = 16
+// maxSkipped bounds how many queued items dispatch skips when no available endpoint is eligible
+// for them.
+const maxSkipped = 16
 
-// Pool holds the endpoints of one service and the work that wants them. Safe for
-// concurrent use; each call is short.
+// Pool selects among the endpoints of one service and queues work while none is available. It is
+// safe for concurrent use.
 type Pool struct {
-	mu      sync.Mutex
-	config  Config
-	random  *rand.Rand
-	targets map[string]*target
-	order   []*target // all targets, for the baselines and the scans
-	turn    int       // of round robin
-	// available targets, the local ones and the others.
-	local, remote []*target
-	capacity      float64
-	live          int // targets that are not leaving
-	inFlight      int // calls of this instance
-	ejected       []*target
-	nextReturn    time.Time
-	// lacking are the targets that have refused a model since they do not hold it,
-	// and until when that counts.
-	lacking map[string]map[*target]time.Time
+	mu                sync.Mutex
+	config            Config
+	random            *rand.Rand
+	targets           map[string]*target
+	order             []*target // in the order given to Update
+	roundRobinCounter int       // counter of the round-robin policy
+	// Available targets, split by failure domain.
+	local, remote   []*target
+	capacity        float64
+	live            int // number of targets that are not leaving
+	inFlight        int // calls in flight from this instance
+	ejected         []*target
+	nextReadmission time.Time
+	// missing records, per model, the targets that do not hold it and when that entry expires.
+	missing map[string]map[*target]time.Time
 	queue   queue
 	backlog backlog
-	latency estimate // of calls as they are, waiting at the endpoint included
-	service estimate // of calls without that waiting
-	// sharers is the number of instances that use the same endpoints, share the part
-	// of their capacity that this one may count on.
-	sharers int
-	share   float64
-	// pressed is when work last waited for, or was refused by, the pool's capacity.
-	pressed time.Time
-	retries float64
+	latency estimate // call latency, including queueing at the endpoint
+	service estimate // call latency without queueing at the endpoint
+	// instances is the number of instances that share the endpoints; share is the fraction of
+	// their capacity that this instance plans with.
+	instances int
+	share     float64
+	// lastShortage is when a request was last rejected for lack of capacity.
+	lastShortage time.Time
+	retryTokens  float64
 }
 
-// NewPool returns a pool without endpoints. The random source is used under the
-// pool's lock alone.
+// NewPool returns a pool without endpoints. The random source is only used while the pool's lock
+// is held.
 func NewPool(config Config, random *rand.Rand) *Pool {
 	return &Pool{
-		config:  config,
-		random:  random,
-		targets: map[string]*target{},
-		lacking: map[string]map[*target]time.Time{},
-		retries: maxRetries,
-		sharers: 1,
-		share:   1,
+		config:      config,
+		random:      random,
+		targets:     map[string]*target{},
+		missing:     map[string]map[*target]time.Time{},
+		retryTokens: maxRetryTokens,
+		instances:   1,
+		share:       1,
 	}
 }
 
-// Update sets the pool's endpoints. What is known of an endpoint stays, unless its
-// incarnation grew; calls in flight stay counted.
+// Update replaces the set of endpoints. Statistics are kept for endpoints with the same address
+// and incarnation; calls in flight stay counted.
 func (p *Pool) Update(now time.Time, concurrency int, endpoints []Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,7 +69,7 @@
 	for name, t := range p.targets {
 		if !present[name] {
 			t.Leaving = true
-			p.settle(t)
+			p.updateAvailability(t)
 			delete(p.targets, name)
 		}
 	}
@@ -83,15 +82,15 @@
 	if t == nil || t.Incarnation < e.Incarnation || t.Address != e.Address {
 		if t != nil {
 			t.Leaving = true
-			p.settle(t)
+			p.updateAvailability(t)
 		}
-		t = &target{Endpoint: e, local: e.FailureDomain == p.config.FailureDomain, place: nowhere, limit: float64(p.config.Concurrency)}
+		t = &target{Endpoint: e, local: e.FailureDomain == p.config.FailureDomain, availableIndex: notAvailable, limit: float64(p.config.Concurrency)}
 		p.targets[e.Name] = t
 	}
 	t.Endpoint = e
 	t.concurrency = p.config.Concurrency
 	t.limit = min(t.limit, float64(t.concurrency))
-	p.settle(t)
+	p.updateAvailability(t)
 }
 
 func (p *Pool) reorder(endpoints []Endpoint) {
@@ -106,8 +105,8 @@
 	}
 }
 
-// MarkLeaving stops new work to an endpoint of an incarnation at once, before the
-// next Update says the same. It tells whether that was news.
+// MarkLeaving stops new work to an endpoint ahead of the next Update. It reports whether the
+// endpoint was not marked before.
 func (p *Pool) MarkLeaving(name string, incarnation uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,12 +116,12 @@
 	}
 	t.Leaving = true
 	p.live--
-	p.settle(t)
+	p.updateAvailability(t)
 	return true
 }
 
-// Acquire asks for an endpoint. The verdict is a grant, a refusal, or a waiter
-// whose Done channel gets one of the two later.
+// Acquire requests an endpoint. The result is a grant, a refusal, or a waiter whose Done channel
+// delivers one of the two later.
 func (p *Pool) Acquire(now time.Time, work Work) Verdict {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +129,7 @@
 	if p.config.Policy != Adaptive {
 		return p.acquireBaseline(now, work)
 	}
-	if refusal := p.hopeless(now, &work); refusal != nil {
+	if refusal := p.infeasible(now, &work); refusal != nil {
 		return Verdict{Refusal: refusal}
 	}
 	if p.queue.length == 0 {
@@ -141,22 +140,22 @@
 	return p.enqueue(now, work)
 }
 
-// hopeless returns a refusal for work that no endpoint can do in time.
-func (p *Pool) hopeless(now time.Time, work *Work) *Refusal {
-	if !p.untried(work) || p.allLack(now, work.Model) {
+// infeasible returns a refusal if no endpoint can finish the work in time.
+func (p *Pool) infeasible(now time.Time, work *Work) *Refusal {
+	if !p.untried(work) || p.allMissing(now, work.Model) {
 		return &Refusal{Reason: NoEndpoint}
 	}
-	// While nothing is in flight, work runs however little time is left, since an
-	// estimate that is too high would otherwise never be corrected.
-	usual, _ := p.service.at(now)
-	left := work.Deadline.Sub(now)
-	if left < 0 || p.inFlight > 0 && left < seconds(usual) {
+	// An idle pool accepts work regardless of the estimate, because an estimate that is too high
+	// would otherwise never be corrected.
+	mean, _ := p.service.at(now)
+	remaining := work.Deadline.Sub(now)
+	if remaining < 0 || p.inFlight > 0 && remaining < seconds(mean) {
 		return &Refusal{Reason: TooLate}
 	}
 	return nil
 }
 
-// untried tells whether there is a live endpoint that the work does not exclude.
+// untried reports whether a live endpoint exists that the work does not exclude.
 func (p *Pool) untried(work *Work) bool {
 	if p.live > len(work.Exclude) {
 		return true
@@ -184,14 +183,14 @@
 	return Verdict{Waiter: w}
 }
 
-// drainTime is how long the waiting work will take.
+// drainTime estimates how long it takes to serve the queue.
 func (p *Pool) drainTime(now time.Time) time.Duration {
 	mean, _ := p.latency.at(now)
 	return seconds(mean * float64(p.queue.length) / max(p.capacity, 1))
 }
 
-// Withdraw takes waiting work back. If a verdict has come meanwhile, it is
-// returned, and a grant in it must be finished.
+// Withdraw removes waiting work from the queue. If a result was delivered in the meantime,
+// Withdraw returns it, and the caller must finish its grant.
 func (p *Pool) Withdraw(w *Waiter) (Verdict, bool) {
 	p.mu.Lock()
 	p.queue.remove(w)
@@ -204,8 +203,8 @@
 	}
 }
 
-// Tick gives verdicts that only the passing of time brings: readmitted endpoints
-// and waiting work that has become too late.
+// Tick handles state changes caused by elapsed time: expired ejections, and queued work that can
+// no longer meet its deadline.
 func (p *Pool) Tick(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,12 +212,12 @@
 	p.dispatch(now)
 }
 
-// dispatch gives free endpoints to waiting work, in the queue's order.
+// dispatch assigns available endpoints to queued work in queue order.
 func (p *Pool) dispatch(now time.Time) {
-	var passedOver []*Waiter
+	var skipped []*Waiter
 	for p.queue.length > 0 {
 		w := p.queue.pop()
-		if refusal := p.hopeless(now, &w.work); refusal != nil {
+		if refusal := p.infeasible(now, &w.work); refusal != nil {
 			w.Done <- Verdict{Refusal: refusal}
 			continue
 		}
@@ -227,84 +226,84 @@
 			w.Done <- Verdict{Grant: p.grant(now, t, w.work)}
 			continue
 		}
-		passedOver = append(passedOver, w)
-		if p.full() || len(passedOver) == maxPassedOver {
+		skipped = append(skipped, w)
+		if p.full() || len(skipped) == maxSkipped {
 			break
 		}
 	}
-	for _, w := range passedOver {
+	for _, w := range skipped {
 		p.queue.unpop(w)
 	}
 }
 
-// full tells whether no call may begin now, whatever the work.
+// full reports whether no target is available.
 func (p *Pool) full() bool { return len(p.local)+len(p.remote) == 0 }
 
 func (p *Pool) grant(now time.Time, t *target, work Work) *Grant {
 	t.inFlight++
 	p.inFlight++
-	p.settle(t)
+	p.updateAvailability(t)
 	return &Grant{Endpoint: t.Endpoint, Local: t.local, target: t, start: now, work: work}
 }
 
-// Finish gives a grant back with what the call told, and tells whether the endpoint
-// was ejected for it. The report may be nil.
+// Finish releases a grant, records the result of the call, and reports whether it caused the
+// endpoint to be ejected. The report may be nil.
 func (p *Pool) Finish(now time.Time, g *Grant, result Result, report *Report) (ejected bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := g.target
 	before := t.ejected()
 	if report != nil {
-		t.observe(now, *report)
+		t.applyReport(now, *report)
 		p.adaptShare(now, *report)
 	}
 	t.inFlight--
 	p.inFlight--
-	p.learn(now, t, g, result)
-	p.settle(t)
+	p.recordResult(now, t, g, result)
+	p.updateAvailability(t)
 	p.dispatch(now)
 	return t.ejected() && !before
 }
 
-// settle puts a target in or out of the available ones and counts its capacity,
-// after anything about it changed.
-func (p *Pool) settle(t *target) {
+// updateAvailability adds the target to the list of available targets or removes it, and updates
+// the pool's capacity. It must be called after each change to the target.
+func (p *Pool) updateAvailability(t *target) {
 	capacity := t.capacity()
-	p.capacity += capacity - t.counted
-	t.counted = capacity
+	p.capacity += capacity - t.countedCapacity
+	t.countedCapacity = capacity
 	list := &p.remote
 	if t.local {
 		list = &p.local
 	}
 	switch available := t.available(); {
-	case available && t.place == nowhere:
-		t.place = len(*list)
+	case available && t.availableIndex == notAvailable:
+		t.availableIndex = len(*list)
 		*list = append(*list, t)
-	case !available && t.place != nowhere:
+	case !available && t.availableIndex != notAvailable:
 		last := (*list)[len(*list)-1]
-		(*list)[t.place] = last
-		last.place = t.place
+		(*list)[t.availableIndex] = last
+		last.availableIndex = t.availableIndex
 		*list = (*list)[:len(*list)-1]
-		t.place = nowhere
+		t.availableIndex = notAvailable
 	}
 }
 
-// Untried tells whether there is a live endpoint beside those named.
+// HasUntried reports whether a live endpoint exists outside names.
 func (p *Pool) Untried(names []string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.untried(&Work{Exclude: names})
 }
 
-// Spare tells whether an endpoint is free while nothing waits.
+// HasFreeCapacity reports whether an endpoint is available and the queue is empty.
 func (p *Pool) Spare() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.queue.length == 0 && len(p.local)+len(p.remote) > 0
 }
 
-// Latency returns the usual time of a call and its mean deviation; zero if no
-// call has succeeded yet.
+// Latency returns the mean latency of a call and its mean deviation, or zero before the first
+// successful call.
 func (p *Pool) Latency(now time.Time) (mean, deviation time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -312,7 +311,7 @@
 	return seconds(m), seconds(d)
 }
 
-// Standing is the state of one endpoint, for operators.
+// EndpointStatus is the state of one endpoint.
 type Standing struct {
 	Endpoint
 	InFlight int
@@ -321,7 +320,7 @@
 	Mean     time.Duration
 }
 
-// Standings returns the state of all endpoints, in the order they were given.
+// Statuses returns the state of all endpoints in the order given to Update.
 func (p *Pool) Standings() []Standing {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/decision/pool_test.go
+++ b/pkg/decision/pool_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("a pool", func() {
-	It("stays in the own failure domain, and spills when that is full", func() {
+	It("prefers the local failure domain and uses others when it is full", func() {
 		p := newPool(decision.Adaptive, 2, append(endpoints(2, "here"), endpoints(2, "there")...)...)
 		for range 4 {
 			Expect(granted(p.Acquire(start, work("a"))).Local).To(BeTrue())
@@ -18,7 +18,7 @@
 		Expect(granted(p.Acquire(start, work("a"))).Local).To(BeFalse())
 	})
 
-	It("never gives an endpoint more calls than its concurrency, and queues the rest", func() {
+	It("limits an endpoint to its concurrency and queues the remaining work", func() {
 		p := newPool(decision.Adaptive, 2, endpoints(1, "here")...)
 		first := granted(p.Acquire(start, work("a")))
 		granted(p.Acquire(start, work("a")))
@@ -29,19 +29,19 @@
 		Expect(waiting.Done).To(Receive(HaveField("Grant", Not(BeNil()))))
 	})
 
-	It("gives nothing to a leaving endpoint, and refuses when none is left", func() {
+	It("sends no new work to a leaving endpoint and refuses work when none is left", func() {
 		p := newPool(decision.Adaptive, 2, endpoints(1, "here")...)
 		Expect(p.MarkLeaving("here-0", 1)).To(BeTrue())
 		Expect(p.MarkLeaving("here-0", 1)).To(BeFalse())
 		refusedFor(p.Acquire(start, work("a")), decision.NoEndpoint)
-		By("a new incarnation of it is another endpoint")
+		By("a new incarnation counts as a new endpoint")
 		again := endpoints(1, "here")
 		again[0].Incarnation = 2
 		p.Update(start, 2, again)
 		granted(p.Acquire(start, work("a")))
 	})
 
-	It("gives waiting work a verdict when the last endpoint leaves", func() {
+	It("refuses queued work when the last endpoint leaves", func() {
 		p := newPool(decision.Adaptive, 1, endpoints(1, "here")...)
 		granted(p.Acquire(start, work("a")))
 		waiting := p.Acquire(start, work("a")).Waiter
@@ -49,7 +49,7 @@
 		Expect(waiting.Done).To(Receive(HaveField("Refusal.Reason", decision.NoEndpoint)))
 	})
 
-	It("never tries an endpoint that the work excludes", func() {
+	It("never selects an excluded endpoint", func() {
 		p := newPool(decision.Adaptive, 4, endpoints(2, "here")...)
 		w := work("a")
 		w.Exclude = []string{"here-0"}
@@ -60,7 +60,7 @@
 		refusedFor(p.Acquire(start, w), decision.NoEndpoint)
 	})
 
-	It("refuses work whose deadline is past, at arrival and while it waits", func() {
+	It("refuses work past its deadline, on arrival and in the queue", func() {
 		p := newPool(decision.Adaptive, 1, endpoints(1, "here")...)
 		late := work("a")
 		late.Deadline = start.Add(-time.Millisecond)
@@ -73,7 +73,7 @@
 		Expect(waiting.Done).To(Receive(HaveField("Refusal.Reason", decision.TooLate)))
 	})
 
-	It("refuses at once what has become too late, and serves what waits behind it", func() {
+	It("drops queued work that can't meet its deadline and serves the work behind it", func() {
 		p := newPool(decision.Adaptive, 1, endpoints(2, "here")...)
 		for range 20 {
 			finish(p, granted(p.Acquire(start, work("a"))), 100*time.Millisecond)
@@ -87,7 +87,7 @@
 		finish(p, first, 80*time.Millisecond)
 		Expect(tooLate.Done).To(Receive(HaveField("Refusal.Reason", decision.TooLate)))
 		Expect(behind.Done).To(Receive(HaveField("Grant", Not(BeNil()))))
-		By("and runs it all the same while nothing is in flight")
+		By("an idle pool runs it regardless")
 		finish(p, second, 80*time.Millisecond)
 		p = newPool(decision.Adaptive, 1, endpoints(2, "here")...)
 		for range 20 {
@@ -98,7 +98,7 @@
 		refusedFor(p.Acquire(start, short), decision.TooLate)
 	})
 
-	It("bounds the queue for one class while another has room", func() {
+	It("evicts lower-priority work from a full queue", func() {
 		p := newPool(decision.Adaptive, 1, endpoints(1, "here")...)
 		granted(p.Acquire(start, work("a")))
 		var low []*decision.Waiter
@@ -121,7 +121,7 @@
 		Expect(shed).To(Equal(1))
 	})
 
-	It("sheds the organisation that is most over its share, not the small one", func() {
+	It("evicts work of the organisation furthest over its share", func() {
 		p := newPool(decision.Adaptive, 1, endpoints(1, "here")...)
 		granted(p.Acquire(start, work("large")))
 		for range 8 {
@@ -131,7 +131,7 @@
 		refusedFor(p.Acquire(start, work("large")), decision.QueueFull)
 	})
 
-	It("serves organisations by their weights", func() {
+	It("serves organisations in proportion to their weights", func() {
 		p := newPool(decision.Adaptive, 1, endpoints(1, "here")...)
 		grant := granted(p.Acquire(start, work("first")))
 		order := ""
@@ -161,7 +161,7 @@
 		Expect(order).To(Or(Equal("xyyy"), Equal("yxyy"), Equal("yyxy"), Equal("yyyx")))
 	})
 
-	It("withdraws waiting work, and hands over a grant that came meanwhile", func() {
+	It("withdraws queued work and returns a grant delivered concurrently", func() {
 		p := newPool(decision.Adaptive, 1, endpoints(1, "here")...)
 		first := granted(p.Acquire(start, work("a")))
 		gone := p.Acquire(start, work("a")).Waiter
@@ -188,7 +188,7 @@
 		}
 	}
 
-	It("never takes out more than half, however many fail", func() {
+	It("never ejects more than half of the endpoints", func() {
 		p := newPool(decision.Adaptive, 4, endpoints(6, "here")...)
 		fail(p, start, 50)
 		ejected := 0
@@ -201,13 +201,13 @@
 		granted(p.Acquire(start, work("a")))
 	})
 
-	It("never takes out the only endpoint", func() {
+	It("never ejects the only endpoint", func() {
 		p := newPool(decision.Adaptive, 4, endpoints(1, "here")...)
 		fail(p, start, 10)
 		granted(p.Acquire(start, work("a")))
 	})
 
-	It("probes an endpoint after its time with one call, and takes it back after a success", func() {
+	It("probes an endpoint with one call after its ejection and readmits it on success", func() {
 		p := newPool(decision.Adaptive, 4, endpoints(2, "here")...)
 		v := granted(p.Acquire(start, work("a")))
 		p.Finish(start, v, decision.Unreachable, nil)
@@ -224,7 +224,7 @@
 		Expect(granted(p.Acquire(later, work("a"))).Endpoint.Name).To(Equal(bad))
 	})
 
-	It("hardly uses an endpoint whose calls had to be broken off late", func() {
+	It("avoids an endpoint whose calls are abandoned late", func() {
 		p := newPool(decision.Adaptive, 8, endpoints(2, "here")...)
 		for range 20 {
 			finish(p, granted(p.Acquire(start, work("a"))), 10*time.Millisecond)
@@ -245,7 +245,7 @@
 })
 
 var _ = Describe("limits and retries", func() {
-	It("lowers the limit when work waits at the endpoint, and raises it again", func() {
+	It("decreases the limit while calls wait at the endpoint and restores it afterwards", func() {
 		p := newPool(decision.Adaptive, 8, endpoints(1, "here")...)
 		now := start
 		limit := func() float64 { return p.Standings()[0].Limit }
@@ -255,7 +255,7 @@
 			p.Finish(now.Add(time.Millisecond), g, decision.Success, &decision.Report{Running: 8, Waiting: 3})
 		}
 		Expect(limit()).To(BeNumerically("<", 2))
-		Expect(limit()).To(BeNumerically(">=", 1), "it never starves")
+		Expect(limit()).To(BeNumerically(">=", 1), "the limit never falls below one")
 		for range 100 {
 			var held []*decision.Grant
 			for range int(limit()) {
@@ -268,7 +268,7 @@
 		Expect(limit()).To(Equal(8.0))
 	})
 
-	It("keeps retries to a share of the successes", func() {
+	It("limits retries to a fraction of the successes", func() {
 		p := newPool(decision.Adaptive, 8, endpoints(4, "here")...)
 		spend := func() (spent int) {
 			for spent < 100 && p.TryRetry() {
@@ -283,7 +283,7 @@
 		Expect(spend()).To(BeNumerically("~", 3, 1))
 	})
 
-	It("takes no harm from a clock that jumps", func() {
+	It("tolerates clock jumps", func() {
 		p := newPool(decision.Adaptive, 4, endpoints(3, "here")...)
 		for _, jump := range []time.Duration{-time.Hour, time.Hour, 0} {
 			now := start.Add(jump)
@@ -301,7 +301,7 @@
 		return w
 	}
 
-	It("is not asked for again where it was lacking, until its endpoint may hold it", func() {
+	It("is not requested from an endpoint that reported it missing until the entry expires", func() {
 		p := newPool(decision.Adaptive, 4, endpoints(2, "here")...)
 		g := granted(p.Acquire(start, with("m")))
 		p.Finish(start, g, decision.Lacking, nil)
@@ -318,7 +318,7 @@
 		Expect(found).To(BeTrue())
 	})
 
-	It("is refused at once where all lack it", func() {
+	It("is refused when it is missing at all endpoints", func() {
 		p := newPool(decision.Adaptive, 4, endpoints(2, "here")...)
 		for range 2 {
 			p.Finish(start, granted(p.Acquire(start, with("m"))), decision.Lacking, nil)
--- a/pkg/decision/queue.go
+++ b/pkg/decision/queue.go
@@ -5,32 +5,31 @@
 	"slices"
 )
 
-// queue orders waiting work: higher ranks first; within a rank by weighted fair
-// shares of the organisations (start-time fair queueing, Goyal et al., 1996);
-// within an organisation the earliest deadline first.
+// queue orders waiting work by rank, within a rank by weighted start-time fair queueing across
+// organisations (Goyal et al., 1996), and within an organisation by deadline.
 type queue struct {
 	classes  []*class // highest rank first
 	length   int
 	sequence uint64
 }
 
-// class is the waiting work of one rank.
+// class holds the waiting work of one rank.
 type class struct {
-	rank    uint32
-	flows   map[string]*flow
-	active  flowHeap
-	virtual float64
+	rank        uint32
+	flows       map[string]*flow
+	active      flowHeap
+	virtualTime float64
 }
 
-// flow is the waiting work of one organisation within a class.
+// flow holds the waiting work of one organisation within a class.
 type flow struct {
 	organisation string
 	weight       float64
-	// start is the virtual time at which the next of the flow may start.
-	start   float64
-	waiters waiterHeap
-	index   int
-	class   *class
+	// startTag is the virtual start time of the flow's next item.
+	startTag float64
+	waiters  waiterHeap
+	index    int
+	class    *class
 }
 
 func (q *queue) class(rank uint32) *class {
@@ -45,7 +44,6 @@
 	return c
 }
 
-// push adds a waiter.
 func (q *queue) push(w *Waiter) {
 	c := q.class(w.work.Rank)
 	f := c.flows[w.work.Organisation]
@@ -62,12 +60,12 @@
 	heap.Push(&f.waiters, w)
 	q.length++
 	if len(f.waiters) == 1 {
-		f.start = max(f.start, c.virtual)
+		f.startTag = max(f.startTag, c.virtualTime)
 		heap.Push(&c.active, f)
 	}
 }
 
-// pop takes the next waiter out; nil if none waits.
+// pop removes and returns the next waiter, or nil if the queue is empty.
 func (q *queue) pop() *Waiter {
 	for _, c := range q.classes {
 		if len(c.active) == 0 {
@@ -75,24 +73,24 @@
 		}
 		f := c.active[0]
 		w := f.waiters[0]
-		c.virtual = f.start
-		f.start += 1 / f.weight
+		c.virtualTime = f.startTag
+		f.startTag += 1 / f.weight
 		q.remove(w)
 		return w
 	}
 	return nil
 }
 
-// unpop puts back a waiter that pop gave, as if it had not been popped.
+// unpop reverts a pop of w, including its effect on the start tag.
 func (q *queue) unpop(w *Waiter) {
 	c := q.class(w.work.Rank)
 	if f := c.flows[w.work.Organisation]; f != nil {
-		f.start -= 1 / f.weight
+		f.startTag -= 1 / f.weight
 	}
 	q.push(w)
 }
 
-// remove takes a waiter out of the queue; it does nothing if it is out already.
+// remove removes a waiter and reports whether it was queued.
 func (q *queue) remove(w *Waiter) bool {
 	f := w.flow
 	if f == nil || w.index < 0 {
@@ -106,26 +104,26 @@
 		return true
 	}
 	heap.Remove(&f.class.active, f.index)
-	q.forget(f)
+	q.dropIdle(f)
 	return true
 }
 
-// forget drops an empty flow that is not ahead of its class, which starts anew at
-// the same place when it comes back. The others stay until the class is idle.
-func (q *queue) forget(f *flow) {
+// dropIdle deletes an empty flow whose start tag is not ahead of the virtual time, since it would
+// restart at the same tag. Other empty flows are kept until the class is empty.
+func (q *queue) dropIdle(f *flow) {
 	c := f.class
-	if f.start <= c.virtual {
+	if f.startTag <= c.virtualTime {
 		delete(c.flows, f.organisation)
 	}
 	if len(c.active) == 0 {
 		clear(c.flows)
-		c.virtual = 0
+		c.virtualTime = 0
 	}
 }
 
-// victim returns the waiter to shed so that one of the given work can wait: of the
-// lowest class that has any, up to the work's own rank, the organisation with the
-// most waiting for its weight, its latest deadline. Nil: the work itself is.
+// victim returns the waiter to evict in favour of new work, or nil if the new work is to be
+// refused. It takes the lowest non-empty class up to the work's rank, the organisation with the
+// longest queue relative to its weight, and there the latest deadline.
 func (q *queue) victim(work *Work) *Waiter {
 	for i := len(q.classes) - 1; i >= 0; i-- {
 		c := q.classes[i]
@@ -143,7 +141,7 @@
 func (c *class) victim(work *Work) *Waiter {
 	var worst *flow
 	for _, f := range c.active {
-		if worst == nil || f.pressure() > worst.pressure() {
+		if worst == nil || f.relativeLength() > worst.relativeLength() {
 			worst = f
 		}
 	}
@@ -151,14 +149,14 @@
 	if f := c.flows[work.Organisation]; f != nil {
 		own = float64(len(f.waiters)+1) / max(work.Weight, 1)
 	}
-	if c.rank == work.Rank && (worst.organisation == work.Organisation || own >= worst.pressure()) {
+	if c.rank == work.Rank && (worst.organisation == work.Organisation || own >= worst.relativeLength()) {
 		return nil
 	}
 	return worst.latest()
 }
 
-// pressure is how much of the flow waits for its weight.
-func (f *flow) pressure() float64 { return float64(len(f.waiters)) / f.weight }
+// relativeLength is the queue length divided by the weight.
+func (f *flow) relativeLength() float64 { return float64(len(f.waiters)) / f.weight }
 
 func (f *flow) latest() *Waiter {
 	latest := f.waiters[0]
@@ -170,7 +168,7 @@
 	return latest
 }
 
-// waiterHeap has the earliest deadline on top, then the first come.
+// waiterHeap is a min-heap by deadline, then by arrival.
 type waiterHeap []*Waiter
 
 func (h waiterHeap) Len() int { return len(h) }
@@ -205,14 +203,14 @@
 	return w
 }
 
-// flowHeap has the flow whose next may start first on top.
+// flowHeap is a min-heap by start tag, then by the earliest deadline.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int { return len(h) }
 
 func (h flowHeap) Less(i, j int) bool {
-	if h[i].start != h[j].start {
-		return h[i].start < h[j].start
+	if h[i].startTag != h[j].startTag {
+		return h[i].startTag < h[j].startTag
 	}
 	return h[i].waiters[0].work.Deadline.Before(h[j].waiters[0].work.Deadline)
 }
--- a/pkg/decision/replay_test.go
+++ b/pkg/decision/replay_test.go
@@ -16,18 +16,18 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/trace"
 )
 
-// replay runs a trace through the decisions of several instances, in virtual time,
-// against endpoints that are only slots and a queue.
+// replay simulates a recorded trace in virtual time: several instances with their own pools, and
+// endpoints modelled as slots with a FIFO queue.
 type replay struct {
-	fleet     trace.Fleet
-	now       time.Time
-	events    eventHeap
-	sequence  int
-	endpoints map[string]*fakeEndpoint
-	instances []*fakeInstance
-	results   []*fakeRequest
-	spent     map[*fakeRequest]time.Duration
-	baseline  bool
+	fleet          trace.Fleet
+	now            time.Time
+	events         eventHeap
+	sequence       int
+	endpoints      map[string]*fakeEndpoint
+	instances      []*fakeInstance
+	results        []*fakeRequest
+	spent          map[*fakeRequest]time.Duration
+	baselinePolicy bool
 }
 
 type fakeEndpoint struct {
@@ -37,7 +37,7 @@
 	dead           bool
 }
 
-// fakeInstance is the decision state of one instance.
+// fakeInstance holds the pools and plans of one instance.
 type fakeInstance struct {
 	pools map[string]*decision.Pool
 	plans map[string]*decision.Plan
@@ -45,16 +45,16 @@
 
 type fakeRequest struct {
 	*trace.Request
-	instance *fakeInstance
-	pipeline config.Pipeline
-	deadline time.Time
-	work     decision.Work
-	place    *decision.Admission
-	answered bool
+	instance    *fakeInstance
+	pipeline    config.Pipeline
+	deadline    time.Time
+	work        decision.Work
+	admission   *decision.Admission
+	metDeadline bool
 }
 
 func newReplay(fleet trace.Fleet, policy decision.Policy) *replay {
-	r := &replay{fleet: fleet, now: start, endpoints: map[string]*fakeEndpoint{}, spent: map[*fakeRequest]time.Duration{}, baseline: policy != decision.Adaptive}
+	r := &replay{fleet: fleet, now: start, endpoints: map[string]*fakeEndpoint{}, spent: map[*fakeRequest]time.Duration{}, baselinePolicy: policy != decision.Adaptive}
 	for n, domain := range fleet.Domains {
 		i := &fakeInstance{pools: map[string]*decision.Pool{}, plans: map[string]*decision.Plan{}}
 		for _, s := range fleet.Services {
@@ -129,18 +129,18 @@
 		}
 	}
 	r.results = append(r.results, q)
-	place, refusal := q.instance.plans[q.pipeline.Name].Admit(r.now, q.work, caution)
+	admission, refusal := q.instance.plans[q.pipeline.Name].Admit(r.now, q.work, caution)
 	if refusal == nil {
-		q.place = place
+		q.admission = admission
 		r.stage(q, 0, nil)
 	}
 }
 
-// stage asks for an endpoint for the stage at index k.
+// stage acquires an endpoint for stage k.
 func (r *replay) stage(q *fakeRequest, k int, tried []string) {
 	if k == len(q.pipeline.Stages) {
-		q.answered = !r.now.After(q.deadline)
-		q.place.Close()
+		q.metDeadline = !r.now.After(q.deadline)
+		q.admission.Close()
 		return
 	}
 	work := q.work
@@ -154,7 +154,7 @@
 	r.verdict(q, k, tried, v)
 }
 
-// poll looks each millisecond whether waiting work has its verdict.
+// poll checks every millisecond whether the waiter has a result.
 func (r *replay) poll(q *fakeRequest, k int, tried []string, w *decision.Waiter) {
 	select {
 	case v := <-w.Done:
@@ -167,15 +167,15 @@
 func (r *replay) verdict(q *fakeRequest, k int, tried []string, v decision.Verdict) {
 	pool := q.instance.pools[q.pipeline.Stages[k].Service]
 	if v.Refusal != nil {
-		q.place.Close()
+		q.admission.Close()
 		return
 	}
 	e := r.endpoints[v.Grant.Endpoint.Name]
 	tried = append(tried, v.Grant.Endpoint.Name)
 	if e.dead {
 		pool.Finish(r.now, v.Grant, decision.Unreachable, nil)
-		if r.baseline && len(tried) > 1 {
-			q.place.Close()
+		if r.baselinePolicy && len(tried) > 1 {
+			q.admission.Close()
 			return
 		}
 		r.stage(q, k, tried)
@@ -209,15 +209,16 @@
 	}
 	q.instance.pools[q.pipeline.Stages[k].Service].Finish(r.now, g, result, &decision.Report{Running: e.running, Waiting: len(e.waiting)})
 	if broken {
-		q.place.Close()
+		q.admission.Close()
 		return
 	}
-	q.place.StageDone(k)
+	q.admission.StageDone(k)
 	r.stage(q, k+1, nil)
 }
 
-// smallWaste is the wasted share that is never too much.
-const smallWaste = 0.02
+// negligibleWaste is the wasted fraction of work below which the comparison with the baselines
+// does not apply.
+const negligibleWaste = 0.02
 
 func replayed(fleet trace.Fleet, policy decision.Policy, t *trace.Trace) outcome {
 	r := newReplay(fleet, policy)
@@ -225,7 +226,7 @@
 	return r.outcome()
 }
 
-// outcome is what a replay has reached.
+// outcome holds the fractions that the replay is checked for.
 type outcome struct{ attainment, wasted, others float64 }
 
 func (r *replay) outcome() outcome {
@@ -233,14 +234,14 @@
 	var spent, wasted time.Duration
 	for _, q := range r.results {
 		spent += r.spent[q]
-		if q.answered {
+		if q.metDeadline {
 			answered++
 		} else {
 			wasted += r.spent[q]
 		}
 		if q.Organisation != r.fleet.Organisations[0].Name {
 			others++
-			if q.answered {
+			if q.metDeadline {
 				othersAnswered++
 			}
 		}
@@ -283,7 +284,7 @@
 var _ = Describe("replay of the recorded traces", func() {
 	for _, fleet := range trace.Fleets() {
 		for _, name := range trace.Names() {
-			It(fmt.Sprintf("%s %s reaches its stated outcome", fleet.Name, name), func() {
+			It(fmt.Sprintf("%s %s reaches the expected outcome", fleet.Name, name), func() {
 				file, err := os.Open(filepath.Join("..", "..", "_fixtures", "traces", fleet.Name+"-"+name+".jsonl"))
 				Expect(err).NotTo(HaveOccurred())
 				defer file.Close()
@@ -301,7 +302,7 @@
 				expected := t.Header.Expected
 				Expect(got.attainment).To(BeNumerically(">=", expected.MinAttainment))
 				Expect(got.attainment).To(BeNumerically(">=", best.attainment+expected.MinMargin))
-				Expect(got.wasted).To(BeNumerically("<=", max(expected.MaxWasteRatio*best.wasted, smallWaste)))
+				Expect(got.wasted).To(BeNumerically("<=", max(expected.MaxWasteRatio*best.wasted, negligibleWaste)))
 				Expect(got.others).To(BeNumerically(">=", expected.MinOthersAttainment))
 			})
 		}
--- a/pkg/decision/share.go
+++ b/pkg/decision/share.go
@@ -5,43 +5,43 @@
 )
 
 const (
-	// shareIncrease and shareDecrease are the parts by which the share of the capacity
-	// grows and shrinks in the usual time of a call.
+	// shareIncrease and shareDecrease are the relative changes of the share per mean call latency
+	// (multiplicative increase and decrease).
 	shareIncrease = 0.25
 	shareDecrease = 0.25
-	// pressedFor is how long a refusal for lack of capacity counts as a reason to grow.
-	pressedFor = 100 * time.Millisecond
+	// shortageWindow is how long a rejection for lack of capacity keeps the share growing.
+	shortageWindow = 100 * time.Millisecond
 )
 
-// SetSharers sets the number of instances that use the same endpoints.
+// SetInstances sets the number of instances that share the endpoints.
 func (p *Pool) SetSharers(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n == p.sharers {
+	if n == p.instances {
 		return
 	}
-	p.sharers = max(n, 1)
-	p.share = 1 / float64(p.sharers)
+	p.instances = max(n, 1)
+	p.share = 1 / float64(p.instances)
 }
 
-// adaptShare moves the share of the capacity between an equal part and the whole:
-// up while work waits here but none at the endpoints, down when some waits there.
+// adaptShare adjusts the share between an equal split and the whole capacity: down when calls
+// queue at the endpoints, up when work queues here only.
 func (p *Pool) adaptShare(now time.Time, r Report) {
-	least := 1 / float64(p.sharers)
-	// Each call in flight reports once, so that this is the part of one change for
-	// each usual time of a call: the effect shows only after that.
-	part := 1 / float64(max(p.inFlight, 1))
+	least := 1 / float64(p.instances)
+	// Each call in flight sends one report, so a step of 1/inFlight per report adds up to one
+	// change per call latency, the delay after which the effect is visible.
+	step := 1 / float64(max(p.inFlight, 1))
 	switch {
 	case r.Waiting > 0:
-		p.share = max(least, p.share*(1-shareDecrease*part))
-	case p.queue.length > 0 || now.Sub(p.pressed) < pressedFor:
-		p.share = min(1, p.share*(1+shareIncrease*part))
+		p.share = max(least, p.share*(1-shareDecrease*step))
+	case p.queue.length > 0 || now.Sub(p.lastShortage) < shortageWindow:
+		p.share = min(1, p.share*(1+shareIncrease*step))
 	}
 }
 
-// press says that a request was refused for lack of the pool's capacity.
-func (p *Pool) press(now time.Time) {
+// noteShortage records that a request was rejected for lack of capacity.
+func (p *Pool) noteShortage(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pressed = now
+	p.lastShortage = now
 }
--- a/pkg/decision/suite_test.go
+++ b/pkg/decision/suite_test.go
@@ -49,7 +49,7 @@
 	Expect(v.Refusal.Reason).To(Equal(reason))
 }
 
-// finish ends a call that took a time, with success.
+// finish ends a call successfully after the given time.
 func finish(p *decision.Pool, g *decision.Grant, took time.Duration) {
 	p.Finish(start.Add(took), g, decision.Success, nil)
 }
--- a/pkg/decision/work.go
+++ b/pkg/decision/work.go
@@ -1,18 +1,17 @@
-// Package decision decides where, when and on which endpoint a stage runs, and
-// whether a request should run at all. It does no I/O, starts no goroutine and
-// reads no clock: time and the random source are passed in, so that decisions can
-// be embedded, replayed and measured by themselves.
+// Package decision implements admission control, queueing and endpoint selection for the stages of
+// a request. It performs no I/O, starts no goroutines and reads no clock: callers pass in the time
+// and the random source, so that decisions are reproducible.
 package decision
 
 import (
 	"time"
 )
 
-// Policy is a way to choose endpoints.
+// Policy is an endpoint selection policy.
 type Policy string
 
-// The policies. All but Adaptive are simple baselines to measure against: they
-// choose at once among all endpoints, without limits, queues or ejection.
+// All policies but Adaptive are baselines for comparison. They select immediately among all
+// endpoints, without limits, queueing or ejection.
 const (
 	Adaptive      Policy = "cobaltcroft"
 	Random        Policy = "random"
@@ -21,7 +20,7 @@
 	StrictLocal   Policy = "strict_local"
 )
 
-// Endpoint is what a Pool needs to know of an endpoint.
+// Endpoint describes an endpoint to a Pool.
 type Endpoint struct {
 	Name          string
 	Address       string
@@ -29,24 +28,24 @@
 	Incarnation   uint64
 	// Leaving endpoints get no new work.
 	Leaving bool
-	// ChecksTokens says that the endpoint refuses orders with an old fencing token.
+	// ChecksTokens reports whether the endpoint rejects orders with an outdated fencing token.
 	ChecksTokens bool
 }
 
-// Work asks for an endpoint to run one stage of one request.
+// Work is a request for an endpoint to run one stage.
 type Work struct {
 	Organisation string
-	// Weight is the organisation's share; at least 1.
+	// Weight is the organisation's weight in fair queueing; at least 1.
 	Weight float64
-	// Rank is the priority class; higher goes first.
+	// Rank is the priority class; higher ranks are served first.
 	Rank uint32
-	// Deadline is when the stage must have ended so that those after it have
-	// the time they usually need.
+	// Deadline is the time by which the stage must finish to leave enough time for the later
+	// stages.
 	Deadline time.Time
-	// Model names what the endpoint must hold: model, adapter and version; empty if
-	// any endpoint of the service will do.
+	// Model identifies the model, adapter and version that the endpoint must hold; empty if any
+	// endpoint of the service can run the work.
 	Model string
-	// Exclude names endpoints that must not be chosen: those tried before.
+	// Exclude names endpoints that must not be selected, such as those already tried.
 	Exclude []string
 }
 
@@ -59,92 +58,91 @@
 	return false
 }
 
-// Reason says why work was refused.
+// Reason is why work was refused.
 type Reason string
 
-// The reasons of refusal.
+// Reasons for a refusal.
 const (
-	// NoEndpoint: no live endpoint is left that was not tried.
+	// NoEndpoint: there is no untried live endpoint.
 	NoEndpoint Reason = "no_endpoint"
-	// QueueFull: too much work waits.
+	// QueueFull: the queue is full.
 	QueueFull Reason = "queue_full"
-	// TooLate: the deadline can't be met any more.
+	// TooLate: the deadline can't be met.
 	TooLate Reason = "too_late"
-	// OverShare: the organisation has more waiting than its share while others
-	// need the room.
+	// OverShare: the work was evicted from a full queue because its organisation exceeds its fair
+	// share.
 	OverShare Reason = "over_share"
 )
 
-// Grant is the right to make one call to an endpoint. It must be given back with
-// Pool.Finish exactly once.
+// Grant permits one call to an endpoint. It must be released with Pool.Finish exactly once.
 type Grant struct {
 	Endpoint Endpoint
-	// Local tells whether the endpoint is in the instance's failure domain.
+	// Local reports whether the endpoint is in the instance's failure domain.
 	Local  bool
 	target *target
 	start  time.Time
 	work   Work
 }
 
-// Refusal is why work gets no endpoint.
+// Refusal tells why work got no endpoint.
 type Refusal struct {
 	Reason Reason
-	// RetryAfter is when it may be worth asking again; 0 if not known.
+	// RetryAfter suggests when to retry; 0 if unknown.
 	RetryAfter time.Duration
 }
 
-// Waiter is work that waits for an endpoint.
+// Waiter is queued work.
 type Waiter struct {
-	// Done gets exactly one Verdict, unless the waiter is withdrawn.
+	// Done delivers exactly one result unless the waiter is withdrawn first.
 	Done     chan Verdict
 	work     Work
 	sequence uint64
-	// index is the place in the flow's heap; -1 when out of the queue.
+	// index is the position in the flow's heap, or -1 when not queued.
 	index int
 	flow  *flow
 }
 
-// Verdict is the answer to work: exactly one of its fields is set.
+// AcquireResult is the result of Pool.Acquire; exactly one field is set.
 type Verdict struct {
 	Grant   *Grant
 	Refusal *Refusal
-	// Waiter is set by Pool.Acquire alone.
+	// Waiter is only set by Pool.Acquire, never on Waiter.Done.
 	Waiter *Waiter
 }
 
-// Result of a call says what it tells about the endpoint.
+// Result classifies the end of a call for the endpoint's health.
 type Result int
 
-// The results.
+// Call results.
 const (
-	// Success: a whole and right answer.
+	// Success: the response was complete and valid.
 	Success Result = iota
-	// Failure: a wrong, broken or missing answer.
+	// Failure: the response was invalid, incomplete or missing.
 	Failure
-	// Unreachable: the connection was refused; nothing ran.
+	// Unreachable: the connection failed; nothing ran.
 	Unreachable
-	// Busy: the endpoint refused for lack of room; nothing ran.
+	// Busy: the endpoint rejected the call as overloaded; nothing ran.
 	Busy
-	// Draining: the endpoint refused since it is leaving; nothing ran.
+	// Draining: the endpoint rejected the call because it is shutting down; nothing ran.
 	Draining
-	// Lacking: the endpoint refused since it does not hold the model; nothing ran.
+	// ModelMissing: the endpoint does not hold the model; nothing ran.
 	Lacking
-	// Abandoned: we broke off; it says nothing about the endpoint.
+	// Abandoned: the caller cancelled the call.
 	Abandoned
 )
 
-// Report is the load that an endpoint reports.
+// Report is the load reported by an endpoint.
 type Report struct {
 	Running int
 	Waiting int
 }
 
-// Config of a pool.
+// Config configures a Pool.
 type Config struct {
 	Policy        Policy
 	FailureDomain string
-	// Concurrency is how many calls one endpoint runs at once.
+	// Concurrency is the number of calls that one endpoint runs at the same time.
 	Concurrency int
-	// MaxQueue bounds the work that waits.
+	// MaxQueue bounds the length of the queue.
 	MaxQueue int
 }
