--- a/pkg/decision/admission.go
+++ b/pkg/decision/admission.go
@@ -49,12 +49,12 @@
 
 // SafetyFactor is the number of standard deviations that admission adds to the estimated latency
 // of a request. A larger value rejects more of the requests that may miss their deadline.
-type Caution float64
+type SafetyFactor float64
 
 // Safety factors for the two objectives.
 const (
-	AttainmentCaution Caution = 0.75
-	CostCaution       Caution = 1
+	AttainmentSafetyFactor SafetyFactor = 0.75
+	CostSafetyFactor       SafetyFactor = 1
 )
 
 // Admission tracks the pending stages of an admitted request in the backlogs of their pools.
@@ -67,8 +67,8 @@
 
 // Admit rejects a request that is unlikely to meet work.Deadline before any stage runs, so that it
 // uses no endpoint time. Pools with a baseline policy admit every request.
-func (p *Plan) Admit(now time.Time, work Work, caution Caution) (*Admission, *Refusal) {
-	latency, idle, refusal := p.estimateLatency(now, &work, caution)
+func (p *Plan) Admit(now time.Time, work Work, safetyFactor SafetyFactor) (*Admission, *Refusal) {
+	latency, idle, refusal := p.estimateLatency(now, &work, safetyFactor)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -92,7 +92,7 @@
 // estimateLatency estimates the latency of the critical path through the steps. It reports idle if
 // no pool on the path has a backlog; such a request is always admitted, because an estimate that
 // is too high would otherwise never be corrected.
-func (p *Plan) estimateLatency(now time.Time, work *Work, caution Caution) (latency time.Duration, idle bool, refusal *Refusal) {
+func (p *Plan) estimateLatency(now time.Time, work *Work, safetyFactor SafetyFactor) (latency time.Duration, idle bool, refusal *Refusal) {
 	ends := make([]float64, len(p.steps))
 	variances := make([]float64, len(p.steps))
 	worst, idle := 0.0, true
@@ -110,7 +110,7 @@
 		}
 		ends[i] = begin + f.wait + f.mean
 		variances[i] = variance + f.deviation*f.deviation
-		worst = max(worst, ends[i]+float64(caution)*math.Sqrt(variances[i]))
+		worst = max(worst, ends[i]+float64(safetyFactor)*math.Sqrt(variances[i]))
 	}
 	return seconds(worst), idle, nil
 }
--- a/pkg/decision/admission_test.go
+++ b/pkg/decision/admission_test.go
@@ -33,7 +33,7 @@
 	admit := func(organisation string, allowed time.Duration) (*decision.Admission, *decision.Refusal) {
 		w := work(organisation)
 		w.Deadline = start.Add(allowed)
-		return plan.Admit(start, w, decision.AttainmentCaution)
+		return plan.Admit(start, w, decision.AttainmentSafetyFactor)
 	}
 
 	It("rejects before the first stage when a later stage has no capacity", func() {
--- a/pkg/decision/bench_test.go
+++ b/pkg/decision/bench_test.go
@@ -53,7 +53,7 @@
 			w := decision.Work{Organisation: "a", Weight: 1, Deadline: start.Add(time.Hour)}
 			b.ReportAllocs()
 			for b.Loop() {
-				a, _ := plan.Admit(start, w, decision.AttainmentCaution)
+				a, _ := plan.Admit(start, w, decision.AttainmentSafetyFactor)
 				a.Close()
 			}
 		})
--- a/pkg/decision/replay_test.go
+++ b/pkg/decision/replay_test.go
@@ -112,13 +112,13 @@
 		return
 	}
 	q := &fakeRequest{Request: e.Request, instance: r.instances[n%len(r.instances)]}
-	caution := decision.AttainmentCaution
+	safetyFactor := decision.AttainmentSafetyFactor
 	for _, p := range r.fleet.Pipelines {
 		if p.Name == e.Request.Pipeline {
 			q.pipeline = p
 			q.deadline = r.now.Add(p.Deadline())
 			if p.Objective == config.Cost {
-				caution = decision.CostCaution
+				safetyFactor = decision.CostSafetyFactor
 			}
 		}
 	}
@@ -129,7 +129,7 @@
 		}
 	}
 	r.results = append(r.results, q)
-	admission, refusal := q.instance.plans[q.pipeline.Name].Admit(r.now, q.work, caution)
+	admission, refusal := q.instance.plans[q.pipeline.Name].Admit(r.now, q.work, safetyFactor)
 	if refusal == nil {
 		q.admission = admission
 		r.stage(q, 0, nil)
--- a/pkg/traffic/executor.go
+++ b/pkg/traffic/executor.go
@@ -138,11 +138,11 @@
 	return run.execute(ctx)
 }
 
-func caution(o config.Objective) decision.Caution {
+func caution(o config.Objective) decision.SafetyFactor {
 	if o == config.Cost {
-		return decision.CostCaution
+		return decision.CostSafetyFactor
 	}
-	return decision.AttainmentCaution
+	return decision.AttainmentSafetyFactor
 }
 
 // prepare looks up what the request names.
