--- a/pkg/decision/baseline.go
+++ b/pkg/decision/baseline.go
@@ -6,7 +6,7 @@
 
 // acquireBaseline applies a baseline policy: it selects among all live, untried endpoints without
 // queueing.
-func (p *Pool) acquireBaseline(now time.Time, work Work) Verdict {
+func (p *Pool) acquireBaseline(now time.Time, work Work) AcquireResult {
 	var candidates []*target
 	for _, t := range p.order {
 		if !t.Leaving && !work.excludes(t.Name) {
@@ -17,9 +17,9 @@
 		candidates = localOnly(candidates)
 	}
 	if len(candidates) == 0 {
-		return Verdict{Refusal: &Refusal{Reason: NoEndpoint}}
+		return AcquireResult{Refusal: &Refusal{Reason: NoEndpoint}}
 	}
-	return Verdict{Grant: p.grant(now, p.pick(candidates), work)}
+	return AcquireResult{Grant: p.grant(now, p.pick(candidates), work)}
 }
 
 func (p *Pool) pick(candidates []*target) *target {
--- a/pkg/decision/pool.go
+++ b/pkg/decision/pool.go
@@ -122,7 +122,7 @@
 
 // Acquire requests an endpoint. The result is a grant, a refusal, or a waiter whose Done channel
 // delivers one of the two later.
-func (p *Pool) Acquire(now time.Time, work Work) Verdict {
+func (p *Pool) Acquire(now time.Time, work Work) AcquireResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.readmit(now)
@@ -130,11 +130,11 @@
 		return p.acquireBaseline(now, work)
 	}
 	if refusal := p.infeasible(now, &work); refusal != nil {
-		return Verdict{Refusal: refusal}
+		return AcquireResult{Refusal: refusal}
 	}
 	if p.queue.length == 0 {
 		if t := p.choose(now, &work); t != nil {
-			return Verdict{Grant: p.grant(now, t, work)}
+			return AcquireResult{Grant: p.grant(now, t, work)}
 		}
 	}
 	return p.enqueue(now, work)
@@ -168,19 +168,19 @@
 	return false
 }
 
-func (p *Pool) enqueue(now time.Time, work Work) Verdict {
+func (p *Pool) enqueue(now time.Time, work Work) AcquireResult {
 	if p.queue.length >= p.config.MaxQueue {
 		victim := p.queue.victim(&work)
 		if victim == nil {
-			return Verdict{Refusal: &Refusal{Reason: QueueFull, RetryAfter: p.drainTime(now)}}
+			return AcquireResult{Refusal: &Refusal{Reason: QueueFull, RetryAfter: p.drainTime(now)}}
 		}
 		p.queue.remove(victim)
-		victim.Done <- Verdict{Refusal: &Refusal{Reason: OverShare, RetryAfter: p.drainTime(now)}}
+		victim.Done <- AcquireResult{Refusal: &Refusal{Reason: OverShare, RetryAfter: p.drainTime(now)}}
 	}
-	w := &Waiter{Done: make(chan Verdict, 1), work: work}
+	w := &Waiter{Done: make(chan AcquireResult, 1), work: work}
 	p.queue.push(w)
 	p.dispatch(now)
-	return Verdict{Waiter: w}
+	return AcquireResult{Waiter: w}
 }
 
 // drainTime estimates how long it takes to serve the queue.
@@ -191,7 +191,7 @@
 
 // Withdraw removes waiting work from the queue. If a result was delivered in the meantime,
 // Withdraw returns it, and the caller must finish its grant.
-func (p *Pool) Withdraw(w *Waiter) (Verdict, bool) {
+func (p *Pool) Withdraw(w *Waiter) (AcquireResult, bool) {
 	p.mu.Lock()
 	p.queue.remove(w)
 	p.mu.Unlock()
@@ -199,7 +199,7 @@
 	case v := <-w.Done:
 		return v, true
 	default:
-		return Verdict{}, false
+		return AcquireResult{}, false
 	}
 }
 
@@ -218,12 +218,12 @@
 	for p.queue.length > 0 {
 		w := p.queue.pop()
 		if refusal := p.infeasible(now, &w.work); refusal != nil {
-			w.Done <- Verdict{Refusal: refusal}
+			w.Done <- AcquireResult{Refusal: refusal}
 			continue
 		}
 		t := p.choose(now, &w.work)
 		if t != nil {
-			w.Done <- Verdict{Grant: p.grant(now, t, w.work)}
+			w.Done <- AcquireResult{Grant: p.grant(now, t, w.work)}
 			continue
 		}
 		skipped = append(skipped, w)
--- a/pkg/decision/replay_test.go
+++ b/pkg/decision/replay_test.go
@@ -151,20 +151,20 @@
 		r.poll(q, k, tried, v.Waiter)
 		return
 	}
-	r.verdict(q, k, tried, v)
+	r.acquired(q, k, tried, v)
 }
 
 // poll checks every millisecond whether the waiter has a result.
 func (r *replay) poll(q *fakeRequest, k int, tried []string, w *decision.Waiter) {
 	select {
 	case v := <-w.Done:
-		r.verdict(q, k, tried, v)
+		r.acquired(q, k, tried, v)
 	default:
 		r.at(r.now.Add(time.Millisecond), func() { r.poll(q, k, tried, w) })
 	}
 }
 
-func (r *replay) verdict(q *fakeRequest, k int, tried []string, v decision.Verdict) {
+func (r *replay) acquired(q *fakeRequest, k int, tried []string, v decision.AcquireResult) {
 	pool := q.instance.pools[q.pipeline.Stages[k].Service]
 	if v.Refusal != nil {
 		q.admission.Close()
--- a/pkg/decision/suite_test.go
+++ b/pkg/decision/suite_test.go
@@ -37,13 +37,13 @@
 	return decision.Work{Organisation: organisation, Weight: 1, Deadline: start.Add(time.Minute)}
 }
 
-func granted(v decision.Verdict) *decision.Grant {
+func granted(v decision.AcquireResult) *decision.Grant {
 	GinkgoHelper()
 	Expect(v.Grant).NotTo(BeNil(), "%+v", v)
 	return v.Grant
 }
 
-func refusedFor(v decision.Verdict, reason decision.Reason) {
+func refusedFor(v decision.AcquireResult, reason decision.Reason) {
 	GinkgoHelper()
 	Expect(v.Refusal).NotTo(BeNil(), "%+v", v)
 	Expect(v.Refusal.Reason).To(Equal(reason))
--- a/pkg/decision/types.go
+++ b/pkg/decision/types.go
@@ -94,7 +94,7 @@
 // Waiter is queued work.
 type Waiter struct {
 	// Done delivers exactly one result unless the waiter is withdrawn first.
-	Done     chan Verdict
+	Done     chan AcquireResult
 	work     Work
 	sequence uint64
 	// index is the position in the flow's heap, or -1 when not queued.
@@ -103,7 +103,7 @@
 }
 
 // AcquireResult is the result of Pool.Acquire; exactly one field is set.
-type Verdict struct {
+type AcquireResult struct {
 	Grant   *Grant
 	Refusal *Refusal
 	// Waiter is only set by Pool.Acquire, never on Waiter.Done.
--- a/pkg/traffic/stage.go
+++ b/pkg/traffic/stage.go
@@ -135,7 +135,7 @@
 }
 
 // wait returns the verdict on waiting work; an empty one if ctx ends first.
-func (s *stageRun) wait(ctx context.Context, w *decision.Waiter) decision.Verdict {
+func (s *stageRun) wait(ctx context.Context, w *decision.Waiter) decision.AcquireResult {
 	select {
 	case verdict := <-w.Done:
 		return verdict
@@ -145,7 +145,7 @@
 	if came && verdict.Grant != nil {
 		s.pool.Finish(s.Clock.Now(), verdict.Grant, decision.Abandoned, nil)
 	}
-	return decision.Verdict{}
+	return decision.AcquireResult{}
 }
 
 func (s *stageRun) stageWork() decision.Work {
