--- a/pkg/decision/health.go
+++ b/pkg/decision/health.go
@@ -38,7 +38,7 @@
 			t.Leaving = true
 			p.live--
 		}
-	case Lacking:
+	case ModelMissing:
 		p.recordMissingModel(now, t, g.work.Model)
 	case Abandoned:
 		p.recordAbandoned(now, t, g)
--- a/pkg/decision/pool_test.go
+++ b/pkg/decision/pool_test.go
@@ -304,7 +304,7 @@
 	It("is not requested from an endpoint that reported it missing until the entry expires", func() {
 		p := newPool(decision.Adaptive, 4, endpoints(2, "here")...)
 		g := granted(p.Acquire(start, with("m")))
-		p.Finish(start, g, decision.Lacking, nil)
+		p.Finish(start, g, decision.ModelMissing, nil)
 		for range 4 {
 			Expect(granted(p.Acquire(start, with("m"))).Endpoint.Name).NotTo(Equal(g.Endpoint.Name))
 		}
@@ -321,7 +321,7 @@
 	It("is refused when it is missing at all endpoints", func() {
 		p := newPool(decision.Adaptive, 4, endpoints(2, "here")...)
 		for range 2 {
-			p.Finish(start, granted(p.Acquire(start, with("m"))), decision.Lacking, nil)
+			p.Finish(start, granted(p.Acquire(start, with("m"))), decision.ModelMissing, nil)
 		}
 		refusedFor(p.Acquire(start, with("m")), decision.NoEndpoint)
 		granted(p.Acquire(start, with("other")))
--- a/pkg/decision/types.go
+++ b/pkg/decision/types.go
@@ -126,7 +126,7 @@
 	// Draining: the endpoint rejected the call because it is shutting down; nothing ran.
 	Draining
 	// ModelMissing: the endpoint does not hold the model; nothing ran.
-	Lacking
+	ModelMissing
 	// Abandoned: the caller cancelled the call.
 	Abandoned
 )
--- a/pkg/traffic/stage.go
+++ b/pkg/traffic/stage.go
@@ -269,7 +269,7 @@
 	case e.Effect == endpoint.Refused && e.Draining:
 		return decision.Draining
 	case e.Effect == endpoint.Refused && e.Lacking:
-		return decision.Lacking
+		return decision.ModelMissing
 	case e.Effect == endpoint.Refused:
 		return decision.Busy
 	case e.Effect == endpoint.Stopped || ctx.Err() != nil:
