--- a/cmd/cobaltcroftd/daemon/placement.go
+++ b/cmd/cobaltcroftd/daemon/placement.go
@@ -79,7 +79,7 @@
 func (s *placementService) endpoints() []placement.Observed {
 	var observed []placement.Observed
 	for service, pool := range s.control.View().Pools {
-		for _, e := range pool.Standings() {
+		for _, e := range pool.Statuses() {
 			if e.Leaving || e.FailureDomain != s.base.settings.FailureDomain {
 				continue
 			}
--- a/pkg/decision/pool.go
+++ b/pkg/decision/pool.go
@@ -312,7 +312,7 @@
 }
 
 // EndpointStatus is the state of one endpoint.
-type Standing struct {
+type EndpointStatus struct {
 	Endpoint
 	InFlight int
 	Limit    float64
@@ -321,12 +321,12 @@
 }
 
 // Statuses returns the state of all endpoints in the order given to Update.
-func (p *Pool) Standings() []Standing {
+func (p *Pool) Statuses() []EndpointStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	standings := make([]Standing, 0, len(p.order))
+	statuses := make([]EndpointStatus, 0, len(p.order))
 	for _, t := range p.order {
-		standings = append(standings, Standing{Endpoint: t.Endpoint, InFlight: t.inFlight, Limit: t.limit, Ejected: t.ejected(), Mean: seconds(t.latency.mean)})
+		statuses = append(statuses, EndpointStatus{Endpoint: t.Endpoint, InFlight: t.inFlight, Limit: t.limit, Ejected: t.ejected(), Mean: seconds(t.latency.mean)})
 	}
-	return standings
+	return statuses
 }
--- a/pkg/decision/pool_test.go
+++ b/pkg/decision/pool_test.go
@@ -192,7 +192,7 @@
 		p := newPool(decision.Adaptive, 4, endpoints(6, "here")...)
 		fail(p, start, 50)
 		ejected := 0
-		for _, s := range p.Standings() {
+		for _, s := range p.Statuses() {
 			if s.Ejected {
 				ejected++
 			}
@@ -248,7 +248,7 @@
 	It("decreases the limit while calls wait at the endpoint and restores it afterwards", func() {
 		p := newPool(decision.Adaptive, 8, endpoints(1, "here")...)
 		now := start
-		limit := func() float64 { return p.Standings()[0].Limit }
+		limit := func() float64 { return p.Statuses()[0].Limit }
 		for range 10 {
 			now = now.Add(time.Second)
 			g := granted(p.Acquire(now, work("a")))
--- a/service/operators/operators.go
+++ b/service/operators/operators.go
@@ -223,7 +223,7 @@
 	var list []*pb.EndpointStatus
 	view := f.Control.View()
 	for _, service := range view.Configuration.Services() {
-		for _, e := range view.Pools[service.Name].Standings() {
+		for _, e := range view.Pools[service.Name].Statuses() {
 			state := "live"
 			if e.Leaving {
 				state = "leaving"
