--- a/pkg/decision/pool.go
+++ b/pkg/decision/pool.go
@@ -289,14 +289,14 @@
 }
 
 // HasUntried reports whether a live endpoint exists outside names.
-func (p *Pool) Untried(names []string) bool {
+func (p *Pool) HasUntried(names []string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.untried(&Work{Exclude: names})
 }
 
 // HasFreeCapacity reports whether an endpoint is available and the queue is empty.
-func (p *Pool) Spare() bool {
+func (p *Pool) HasFreeCapacity() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.queue.length == 0 && len(p.local)+len(p.remote) > 0
--- a/pkg/traffic/generate.go
+++ b/pkg/traffic/generate.go
@@ -50,7 +50,7 @@
 // mayStall tells whether anything could be gained by breaking a stream off: a request
 // that may not be repeated, or has no attempt or no other endpoint left, can only wait.
 func (s *stageRun) mayStall() bool {
-	return !s.Baseline && s.request.Repeatable && len(s.tried) < s.attemptBound() && s.pool.Untried(s.tried)
+	return !s.Baseline && s.request.Repeatable && len(s.tried) < s.attemptBound() && s.pool.HasUntried(s.tried)
 }
 
 // never is longer than any request lasts.
--- a/pkg/traffic/stage.go
+++ b/pkg/traffic/stage.go
@@ -330,7 +330,7 @@
 	if s.Baseline || !s.request.Repeatable || s.stage.Kind == config.Generation {
 		return nil
 	}
-	if running != 1 || len(s.tried) >= maxAttempts || !s.pool.Spare() || !s.pool.TryRetry() {
+	if running != 1 || len(s.tried) >= maxAttempts || !s.pool.HasFreeCapacity() || !s.pool.TryRetry() {
 		return nil
 	}
 	verdict := s.pool.Acquire(s.Clock.Now(), s.stageWork())
