--- a/pkg/control/control.go
+++ b/pkg/control/control.go
@@ -357,7 +357,7 @@
 		endpoints := byService[name]
 		slices.SortFunc(endpoints, func(a, b decision.Endpoint) int { return strings.Compare(a.Name, b.Name) })
 		pool.Update(now, int(c.configuration.Service(name).Concurrency), endpoints)
-		pool.SetSharers(c.instances.All)
+		pool.SetInstances(c.instances.All)
 	}
 }
 
--- a/pkg/decision/capacity_share.go
+++ b/pkg/decision/capacity_share.go
@@ -14,7 +14,7 @@
 )
 
 // SetInstances sets the number of instances that share the endpoints.
-func (p *Pool) SetSharers(n int) {
+func (p *Pool) SetInstances(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n == p.instances {
--- a/pkg/decision/replay_test.go
+++ b/pkg/decision/replay_test.go
@@ -66,7 +66,7 @@
 				r.endpoints[name] = &fakeEndpoint{slots: s.Concurrency, slow: 1}
 			}
 			pool.Update(start, s.Concurrency, list)
-			pool.SetSharers(len(fleet.Domains))
+			pool.SetInstances(len(fleet.Domains))
 			i.pools[s.Name] = pool
 		}
 		for _, p := range fleet.Pipelines {
