--- a/pkg/balance/apart.go
+++ b/pkg/balance/apart.go
@@ -8,26 +8,27 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-// apart returns the endpoint of a call that may end it, or nil if the call is any other: of those with
-// the fewest calls of this instance, which would be cut off with it, the first by rendezvous hashing. So
-// two such calls that met once go to different endpoints, and it shows which of them was the cause: the
-// usual choice sends both to the endpoint that is best for both.
-func (b *Balancer) apart(now time.Time, candidates []fleet.Endpoint, need Need) *fleet.Endpoint {
+// isolated selects the endpoint for a call that may crash it, or returns nil if the call has no
+// isolation key. It picks an endpoint with the fewest calls of this instance, which would fail
+// together with it, and breaks ties by rendezvous hashing of the key. Two suspect calls that
+// failed on the same endpoint are thus separated, which shows which of them caused the crash; the
+// usual selection would send both to the same endpoint again.
+func (b *Balancer) isolated(now time.Time, candidates []fleet.Endpoint, need Need) *fleet.Endpoint {
 	if need.Apart == "" {
 		return nil
 	}
 	var best *fleet.Endpoint
 	var fewest int
-	var most uint64
+	var highest uint64
 	for i := range candidates {
 		e := &candidates[i]
-		s := b.look(e.ID)
-		if need.Exclude[e.ID] || now.Before(s.outUntil) {
+		s := b.peek(e.ID)
+		if need.Exclude[e.ID] || now.Before(s.ejectedUntil) {
 			continue
 		}
 		weight := xxhash.Sum64String(need.Apart + "/" + e.ID)
-		if best == nil || len(s.calls) < fewest || len(s.calls) == fewest && weight > most {
-			best, fewest, most = e, len(s.calls), weight
+		if best == nil || len(s.calls) < fewest || len(s.calls) == fewest && weight > highest {
+			best, fewest, highest = e, len(s.calls), weight
 		}
 	}
 	return best
--- a/pkg/balance/apart_test.go
+++ b/pkg/balance/apart_test.go
@@ -11,27 +11,26 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-var _ = Describe("calls that may end their endpoint", func() {
+var _ = Describe("calls that may crash their endpoint", func() {
 	var (
 		b   *balance.Balancer
 		all []fleet.Endpoint
 	)
 
 	BeforeEach(func() {
-		b = balance.New(clockwork.NewFakeClock(), restless(clockwork.NewFakeClock()))
+		b = balance.New(clockwork.NewFakeClock(), noBackoffs(clockwork.NewFakeClock()))
 		all = nil
 		for n := range 18 {
 			all = append(all, fleet.Endpoint{ID: fmt.Sprint("e", n), FailureDomain: "a", Slots: 4})
 		}
 	})
 
-	// suspect is what two requests need that met at an endpoint which ended: the same parts, the same
-	// preferred endpoint, but each its own choice.
+	// suspect returns two otherwise identical specs that differ only in the isolation key.
 	suspect := func(name string) balance.Need {
 		return balance.Need{Engine: true, Parts: []balance.Part{{ID: "shared", Tokens: 5000}, {ID: "own", Tokens: 10}}, Prefer: "e3", Apart: name}
 	}
 
-	It("part from each other, where all others meet at the best endpoint", func() {
+	It("are separated even though the usual selection would pick the same endpoint", func() {
 		together := 0
 		for n := range 100 {
 			one, other := b.Pick(all, suspect(fmt.Sprint("one", n))), b.Pick(all, suspect(fmt.Sprint("other", n)))
@@ -41,7 +40,7 @@
 			one.End(balance.Well, nil)
 			other.End(balance.Well, nil)
 		}
-		Expect(together).To(BeZero(), "the first is still under way")
+		Expect(together).To(BeZero(), "the first call is still in flight")
 		chosen := map[string]bool{}
 		for n := range 100 {
 			call := b.Pick(all, suspect(fmt.Sprint(n)))
@@ -51,7 +50,7 @@
 		Expect(len(chosen)).To(BeNumerically(">", 12))
 	})
 
-	It("go where the fewest others run", func() {
+	It("use the endpoint with the fewest calls in flight", func() {
 		for _, e := range all[1:] {
 			b.Pick([]fleet.Endpoint{e}, balance.Need{})
 		}
@@ -62,7 +61,7 @@
 		}
 	})
 
-	It("go to none that is excluded, or that failed just now unless there is no other", func() {
+	It("avoid excluded endpoints and use an ejected one only as a last resort", func() {
 		need := suspect("one")
 		first := b.Pick(all, need)
 		first.End(balance.Unreachable, nil)
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -14,8 +14,8 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/notice"
 )
 
-// restless are the rests of endpoints that want none.
-func restless(clock clockwork.Clock) *notice.Rests {
+// noBackoffs returns an empty set of backoffs.
+func noBackoffs(clock clockwork.Clock) *notice.Rests {
 	return notice.NewRests(clock, notice.Unlimited{}, logging.Discard().For("balance"))
 }
 
@@ -33,7 +33,7 @@
 
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
-		b = balance.New(clock, restless(clock))
+		b = balance.New(clock, noBackoffs(clock))
 		all = []fleet.Endpoint{
 			{ID: "a1", FailureDomain: "a", Slots: 4},
 			{ID: "a2", FailureDomain: "a", Slots: 4},
@@ -60,21 +60,21 @@
 		return balance.Need{Engine: true, Parts: []balance.Part{{ID: "system", Tokens: 500}, {ID: subject, Tokens: 5000}, {ID: own, Tokens: 1000}}}
 	}
 
-	It("prefers its own failure domain, and spreads calls there", func() {
+	It("prefers its own failure domain and balances calls within it", func() {
 		chosen := picks(40, need)
 		Expect(chosen["b1"] + chosen["b2"]).To(BeZero())
 		Expect(chosen["a1"]).To(BeNumerically(">", 5))
 		Expect(chosen["a2"]).To(BeNumerically(">", 5))
 	})
 
-	It("goes to others when those of its own have much in flight", func() {
+	It("uses other failure domains when those of its own are busy", func() {
 		for range 40 {
 			b.Pick(all, need)
 		}
 		Expect(b.InFlight("b1") + b.InFlight("b2")).To(BeNumerically(">", 0))
 	})
 
-	It("heeds the load that an endpoint told, for a while", func() {
+	It("takes recently reported load into account", func() {
 		c := b.Pick(all[:1], need)
 		c.End(balance.Well, &balance.Load{Running: 4, Waiting: 40, Slots: 4})
 		Expect(picks(10, need)["a1"]).To(BeZero())
@@ -82,14 +82,14 @@
 		Expect(picks(40, need)["a1"]).To(BeNumerically(">", 0))
 	})
 
-	It("chooses none that is excluded, and none if all are", func() {
+	It("never selects excluded endpoints", func() {
 		exclude := map[string]bool{"a1": true, "b1": true, "b2": true}
 		Expect(b.Pick(all, balance.Need{Exclude: exclude}).Endpoint.ID).To(Equal("a2"))
 		exclude["a2"] = true
 		Expect(b.Pick(all, balance.Need{Exclude: exclude})).To(BeNil())
 	})
 
-	DescribeTable("leaves an endpoint out for a while that",
+	DescribeTable("temporarily ejects an endpoint that",
 		func(outcomes ...balance.Outcome) {
 			for _, o := range outcomes {
 				b.Pick(all[:1], need).End(o, nil)
@@ -98,12 +98,12 @@
 			clock.Advance(time.Minute)
 			Expect(picks(40, need)["a1"]).To(BeNumerically(">", 0))
 		},
-		Entry("was not reached", balance.Unreachable),
+		Entry("was unreachable", balance.Unreachable),
 		Entry("failed twice", balance.Bad, balance.Bad),
 		Entry("refused a call", balance.Refused),
 	)
 
-	It("passes a failure domain over for a while of which an endpoint was silent, until one answers", func() {
+	It("avoids the failure domain of a silent endpoint until another one responds", func() {
 		c := b.Pick(all[:1], need)
 		clock.Advance(300 * time.Millisecond)
 		c.End(balance.Unreachable, nil)
@@ -113,24 +113,24 @@
 		c.End(balance.Well, nil)
 		Expect(b.Pick(all, need).Endpoint.ID).To(Equal("a2"))
 		b.Pick(all[:1], need).End(balance.Unreachable, nil)
-		Expect(b.Pick(all, need).Endpoint.ID).To(Equal("a2"), "a process that has ended refuses at once")
+		Expect(b.Pick(all, need).Endpoint.ID).To(Equal("a2"), "a refused connection says nothing about the failure domain")
 	})
 
-	It("uses those left out when there is no other", func() {
+	It("uses ejected endpoints as a last resort", func() {
 		for range 3 {
 			b.Pick(all[:1], need).End(balance.Unreachable, nil)
 		}
 		Expect(b.Pick(all[:1], need)).NotTo(BeNil())
 	})
 
-	It("avoids an endpoint with a call that has not begun for far too long", func() {
+	It("avoids an endpoint with an overdue call", func() {
 		b.Pick(all[:1], need)
 		clock.Advance(5 * time.Second)
 		Expect(picks(20, need)["a1"]).To(BeZero())
 	})
 
-	It("sends kindred prompts to one engine, over all failure domains, at each instance", func() {
-		other := balance.New(clock, restless(clock))
+	It("sends prompts with a common prefix to the same engine from every instance", func() {
+		other := balance.New(clock, noBackoffs(clock))
 		for _, subject := range []string{"s1", "s2", "s3", "s4", "s5"} {
 			c := b.Pick(all, prompt(subject, "own"))
 			c.Begun()
@@ -140,7 +140,7 @@
 		}
 	})
 
-	It("spreads a subject that all ask for", func() {
+	It("distributes a popular prefix over several engines", func() {
 		for range 40 {
 			b.Pick(all, prompt("hot", "own"))
 		}
@@ -153,7 +153,7 @@
 		Expect(used).To(BeNumerically(">", 1))
 	})
 
-	It("expects a shorter time where the shared parts are kept, and says where that is", func() {
+	It("estimates a shorter time where the shared parts are cached", func() {
 		cold, domain := b.Expect(all, prompt("s", "own"))
 		c := b.Pick(all, prompt("s", "own"))
 		Expect(c.Endpoint.FailureDomain).To(Equal(domain))
@@ -164,7 +164,7 @@
 		Expect(warm).To(BeNumerically("<", cold))
 	})
 
-	It("takes the endpoint that a need prefers, unless something speaks against it", func() {
+	It("uses the preferred endpoint unless it is excluded or ejected", func() {
 		preferring := prompt("s", "own")
 		for _, e := range all {
 			preferring.Prefer = e.ID
@@ -183,7 +183,7 @@
 		Expect(b.Pick(all, preferring)).NotTo(BeNil())
 	})
 
-	It("offers the best endpoints, and one of each failure domain", func() {
+	It("returns the best endpoints and one of each failure domain", func() {
 		options := b.Options(all, prompt("s", "own"), 3)
 		Expect(len(options)).To(BeElementOf(2, 3))
 		domains := map[string]bool{}
@@ -200,7 +200,7 @@
 		}
 	})
 
-	It("forgets endpoints that are gone", func() {
+	It("drops the state of removed endpoints", func() {
 		b.Pick(all[:1], need).End(balance.Unreachable, nil)
 		b.Forget(func(string) bool { return false })
 		Expect(picks(40, need)["a1"]).To(BeNumerically(">", 0))
--- a/pkg/balance/balancer.go
+++ b/pkg/balance/balancer.go
@@ -1,6 +1,6 @@
-// Package balance chooses the endpoint of a call among those of a service, by what this
-// instance has seen of them: calls in flight, times, failures, and for model engines the
-// prompt parts that they keep.
+// Package balance selects the endpoint for a call from what this instance has observed of the
+// endpoints of a service: calls in flight, latency, failures and, for model engines, the prompt
+// parts they are expected to have cached.
 package balance
 
 import (
@@ -17,56 +17,55 @@
 )
 
 const (
-	// sampleWeight is the weight of a new sample in a smoothed time.
+	// sampleWeight is the weight of a new sample in the exponential moving averages.
 	sampleWeight = 0.2
-	// firstOut and lastOut bound how long an endpoint that failed is left out.
-	firstOut = 400 * time.Millisecond
-	lastOut  = 5 * time.Second
-	// failuresOut is how many failures in a row leave an endpoint out.
-	failuresOut = 2
-	// otherDomain is the cost of a call to another failure domain.
-	otherDomain = 30 * time.Millisecond
-	// overdueFactor and overdueSlack say when a call in flight speaks against its
-	// endpoint: it has taken overdueFactor smoothed times and overdueSlack.
+	// minEjection and maxEjection bound the ejection time of a failing endpoint.
+	minEjection = 400 * time.Millisecond
+	maxEjection = 5 * time.Second
+	// failuresToEject is the number of consecutive failures that eject an endpoint.
+	failuresToEject = 2
+	// crossDomainCost is added for endpoints in another failure domain.
+	crossDomainCost = 30 * time.Millisecond
+	// A call is overdue when it exceeds overdueFactor times its expected latency by overdueSlack.
 	overdueFactor = 4
 	overdueSlack  = 150 * time.Millisecond
-	// suspectCost is the cost of an endpoint with an overdue call.
+	// suspectCost is added for endpoints with an overdue call and for those in a failure domain
+	// suspected to be unreachable.
 	suspectCost = 2 * time.Second
-	// firstTime is taken as the time of calls to an endpoint never called before.
-	firstTime = 20 * time.Millisecond
-	// tokensPerSecond is how fast an engine is taken to read a prompt at first.
-	tokensPerSecond = 50_000
-	// batchCost is the cost of each request that runs at an engine already.
+	// initialLatency is the assumed latency of an endpoint without samples.
+	initialLatency = 20 * time.Millisecond
+	// prefillTokensPerSecond is the prefill rate of an engine with a slowness of 1.
+	prefillTokensPerSecond = 50_000
+	// batchCost is added for each call in flight at an engine.
 	batchCost = 2 * time.Millisecond
 )
 
-// Part is a part of a prompt that requests may share.
+// Part is a section of a prompt that several requests may share.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Need says what a call needs of its endpoint.
+// CallSpec describes a call for endpoint selection.
 type Need struct {
-	// Domain is the failure domain that is best; empty: any.
+	// Domain is the preferred failure domain; empty for any.
 	Domain string
-	// DomainCost is what a call to another domain costs beyond the usual, such as
-	// the moving of its inputs.
+	// DomainCost is an additional cost of calls to other failure domains, such as the transfer of
+	// inputs.
 	DomainCost time.Duration
-	// Exclude has the IDs of endpoints that must not be chosen.
+	// Exclude is the set of endpoint IDs that must not be selected.
 	Exclude map[string]bool
-	// Engine says that the endpoints are model engines; Parts is the prompt, in order.
+	// Engine reports whether the endpoints are model engines. Parts is the prompt in order.
 	Engine bool
 	Parts  []Part
-	// Slots is how many calls an endpoint works on at once.
+	// Slots is the number of calls that an endpoint runs concurrently.
 	Slots int
-	// Cold is what the endpoints bear that are cold.
+	// Cold limits the requests to endpoints that are warming up.
 	Cold Cold
-	// Prefer is the ID of the endpoint that is taken unless something speaks against it;
-	// empty: none.
+	// Prefer is the ID of an endpoint to use while it is healthy; empty for none.
 	Prefer string
-	// Apart has the call go where few others run, by a choice of its own that this text stands for;
-	// empty: no. It is for requests that may end their endpoint.
+	// IsolationKey, if not empty, selects an endpoint with few calls in flight by a hash of the
+	// key. It is set for requests that may crash their endpoint.
 	Apart string
 }
 
@@ -78,76 +77,80 @@
 	return total
 }
 
-// Balancer holds what this instance has seen of the endpoints. Safe for concurrent use.
+// Balancer tracks the state of the endpoints as observed by this instance. It is safe for
+// concurrent use.
 type Balancer struct {
 	clock clockwork.Clock
-	// rests are those that endpoints want from this machine. It is no choice of the balancer to
-	// pass them by, not even where no other endpoint is left.
-	rests *notice.Rests
+	// backoffs excludes endpoints that asked this instance to back off, even if no other endpoint
+	// remains.
+	backoffs *notice.Rests
 
 	mu        sync.Mutex
-	endpoints map[string]*seen
-	// silent is until when failure domains are suspected to be cut off.
-	silent map[string]time.Time
+	endpoints map[string]*endpointState
+	// silentUntil is when a failure domain that is suspected to be unreachable may be used
+	// normally again.
+	silentUntil map[string]time.Time
 }
 
 const (
-	// silentAfter is how long it takes at least to find an endpoint silent. One whose
-	// process has ended refuses at once.
-	silentAfter = 200 * time.Millisecond
-	// silentFor is how long a failure domain is suspected of which an endpoint was silent.
-	silentFor = time.Second
+	// minSilence is the connect time after which an unreachable endpoint counts as silent. An
+	// endpoint whose process has exited refuses the connection immediately.
+	minSilence = 200 * time.Millisecond
+	// silenceDuration is how long the failure domain of a silent endpoint is suspected to be
+	// unreachable.
+	silenceDuration = time.Second
 )
 
-// seen is what this instance has seen of one endpoint.
-type seen struct {
-	calls    map[*Call]struct{}
-	smoothed time.Duration
-	failures int
-	out      time.Duration
-	outUntil time.Time
-	// reading is the prompt tokens of calls whose first event has not come.
-	reading int
-	// slowness multiplies the expected time of reading, smoothed.
+// endpointState is what this instance has observed of one endpoint.
+type endpointState struct {
+	calls        map[*Call]struct{}
+	latency      time.Duration
+	failures     int
+	ejection     time.Duration
+	ejectedUntil time.Time
+	// pendingPrefill is the number of uncached prompt tokens of calls that have not returned a
+	// first event.
+	pendingPrefill int
+	// slowness is a smoothed multiplier for the expected prefill time.
 	slowness float64
-	// sampled is when the smoothed values last learnt something; zero if never.
-	sampled time.Time
-	kept    *keptParts
-	load    Load
-	loadAt  time.Time
-	cold    coldness
+	// sampledAt is when the averages were last updated; zero if never.
+	sampledAt time.Time
+	cache     *promptCache
+	load      Load
+	loadAt    time.Time
+	cold      coldState
 }
 
-// New returns a balancer that has seen nothing.
-func New(clock clockwork.Clock, rests *notice.Rests) *Balancer {
-	return &Balancer{clock: clock, rests: rests, endpoints: map[string]*seen{}, silent: map[string]time.Time{}}
+func New(clock clockwork.Clock, backoffs *notice.Rests) *Balancer {
+	return &Balancer{clock: clock, backoffs: backoffs, endpoints: map[string]*endpointState{}, silentUntil: map[string]time.Time{}}
 }
 
-// Call is a call counted in at its endpoint.
+// Call is a call in flight at an endpoint.
 type Call struct {
 	Endpoint fleet.Endpoint
-	// LeftOut says that the endpoint was chosen though it was left out, since no other was there.
-	LeftOut  bool
-	balancer *Balancer
-	begin    time.Time
-	unread   int
-	parts    []Part
-	expected time.Duration
-	begun    bool
-	ended    bool
+	// Ejected reports whether the endpoint was ejected when selected, because no other was
+	// available.
+	LeftOut         bool
+	balancer        *Balancer
+	startedAt       time.Time
+	uncached        int
+	parts           []Part
+	expected        time.Duration
+	responseStarted bool
+	ended           bool
 }
 
-// Pick chooses an endpoint and counts the call in. It returns nil if all are excluded, or want rest.
-// Endpoints that are left out for failures are chosen only when no other is there.
+// Pick selects an endpoint and registers the call with it. It returns nil if all candidates are
+// excluded or backing off. Ejected endpoints are used only as a last resort.
 func (b *Balancer) Pick(candidates []fleet.Endpoint, need Need) *Call {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
 	candidates = b.usable(now, candidates, need)
-	if e := b.apart(now, candidates, need); e != nil {
+	if e := b.isolated(now, candidates, need); e != nil {
 		return b.begin(now, *e, need)
 	}
-	if call := b.preferred(now, candidates, need); call != nil {
+	if call := b.pickPreferred(now, candidates, need); call != nil {
 		return call
 	}
 	best, _ := b.best(now, candidates, need)
@@ -157,18 +160,18 @@
 	return b.begin(now, *best, need)
 }
 
-// best returns the endpoint with the least cost, or nil.
+// best returns the candidate with the lowest cost, or nil.
 func (b *Balancer) best(now time.Time, candidates []fleet.Endpoint, need Need) (*fleet.Endpoint, float64) {
 	var best *fleet.Endpoint
 	bestCost := math.MaxFloat64
-	home := b.homeOf(now, candidates, need)
-	usual := b.usual(now, candidates)
+	affinity := b.affinityTarget(now, candidates, need)
+	averages := b.averages(now, candidates)
 	for i := range candidates {
 		e := &candidates[i]
 		if need.Exclude[e.ID] {
 			continue
 		}
-		if cost := b.cost(now, e, need, usual, e.ID == home); cost < bestCost {
+		if cost := b.cost(now, e, need, averages, e.ID == affinity); cost < bestCost {
 			best, bestCost = e, cost
 		}
 	}
@@ -176,12 +179,12 @@
 }
 
 func (b *Balancer) begin(now time.Time, e fleet.Endpoint, need Need) *Call {
-	s := b.seen(e.ID)
-	c := &Call{Endpoint: e, LeftOut: now.Before(s.outUntil), balancer: b, begin: now, parts: need.Parts}
+	s := b.state(e.ID)
+	c := &Call{Endpoint: e, LeftOut: now.Before(s.ejectedUntil), balancer: b, startedAt: now, parts: need.Parts}
 	if need.Engine {
-		c.unread = need.tokens() - s.kept.match(need.Parts)
-		c.expected = readTime(c.unread+s.reading, s.slowness)
-		s.reading += c.unread
+		c.uncached = need.tokens() - s.cache.cachedTokens(need.Parts)
+		c.expected = prefillTime(c.uncached+s.pendingPrefill, s.slowness)
+		s.pendingPrefill += c.uncached
 	}
 	s.calls[c] = struct{}{}
 	if s.cold.cold(now) {
@@ -190,123 +193,124 @@
 	return c
 }
 
-func (b *Balancer) seen(id string) *seen {
+func (b *Balancer) state(id string) *endpointState {
 	s := b.endpoints[id]
 	if s == nil {
-		s = newSeen()
+		s = newEndpointState()
 		b.endpoints[id] = s
 	}
 	return s
 }
 
-func newSeen() *seen {
-	return &seen{calls: map[*Call]struct{}{}, smoothed: firstTime, slowness: 1, kept: newKeptParts()}
+func newEndpointState() *endpointState {
+	return &endpointState{calls: map[*Call]struct{}{}, latency: initialLatency, slowness: 1, cache: newPromptCache()}
 }
 
-// unseen is what is seen of an endpoint that was never called. It must not be changed.
-var unseen = newSeen()
+// defaultState is the state of endpoints that were never called. It must not be modified.
+var defaultState = newEndpointState()
 
-// look returns what is seen of an endpoint, for reading alone: of thousands of candidates an instance calls few, and
-// keeps nothing of the others.
-func (b *Balancer) look(id string) *seen {
+// peek returns the state of an endpoint for reading. It allocates nothing for endpoints that were
+// never called.
+func (b *Balancer) peek(id string) *endpointState {
 	if s := b.endpoints[id]; s != nil {
 		return s
 	}
-	return unseen
+	return defaultState
 }
 
-// outCost is added for an endpoint that is left out: it is chosen only if all are.
-const outCost = 1e9
+// ejectedCost outweighs all other costs, so that ejected endpoints are used only as a last resort.
+const ejectedCost = 1e9
 
-// cost is the expected time of the call at an endpoint, in milliseconds, with what
-// speaks against it added.
-func (b *Balancer) cost(now time.Time, e *fleet.Endpoint, need Need, u usual, home bool) float64 {
-	s := b.look(e.ID)
+// cost is the expected latency of the call at an endpoint in milliseconds, including penalties.
+func (b *Balancer) cost(now time.Time, e *fleet.Endpoint, need Need, averages averages, affinity bool) float64 {
+	s := b.peek(e.ID)
 	var d time.Duration
-	smoothed, slowness := s.at(now, u)
+	latency, slowness := s.at(now, averages)
 	if need.Engine {
-		d = s.engineCost(need, slowness*s.toldSlowness(now), home)
+		d = s.engineCost(need, slowness*s.reportedSlowness(now), affinity)
 	} else {
-		d = s.simpleCost(now, smoothed, max(need.Slots, e.Slots, 1))
+		d = s.simpleCost(now, latency, max(need.Slots, e.Slots, 1))
 	}
 	if need.Domain != "" && e.FailureDomain != need.Domain {
-		d += otherDomain + need.DomainCost
+		d += crossDomainCost + need.DomainCost
 	}
-	if s.overdue(now) || now.Before(b.silent[e.FailureDomain]) {
+	if s.overdue(now) || now.Before(b.silentUntil[e.FailureDomain]) {
 		d += suspectCost
 	}
 	cost := float64(d)/float64(time.Millisecond) + rand.Float64()
-	if now.Before(s.outUntil) {
-		cost += outCost
+	if now.Before(s.ejectedUntil) {
+		cost += ejectedCost
 	}
 	return cost
 }
 
-func (s *seen) simpleCost(now time.Time, smoothed time.Duration, slots int) time.Duration {
+func (s *endpointState) simpleCost(now time.Time, latency time.Duration, slots int) time.Duration {
 	ahead := len(s.calls)
-	if now.Sub(s.loadAt) < loadLife {
+	if now.Sub(s.loadAt) < loadTTL {
 		ahead = max(ahead, s.load.Running+s.load.Waiting)
 	}
 	turns := 1 + float64(ahead)/float64(slots)
-	return time.Duration(float64(smoothed) * turns * s.toldSlowness(now))
+	return time.Duration(float64(latency) * turns * s.reportedSlowness(now))
 }
 
-// engineCost is the time to the first event at an engine. Shared parts that have to be read
-// count readAgainCost times: they are read at the cost of all others there.
-func (s *seen) engineCost(need Need, slowness float64, home bool) time.Duration {
-	kept := s.kept.match(need.Parts)
-	unread := need.tokens() - kept
+// engineCost is the expected time to the first event at an engine. Uncached shared parts are
+// weighted by sharedPrefillFactor unless the engine is their affinity target, because other
+// engines already hold them.
+func (s *endpointState) engineCost(need Need, slowness float64, affinity bool) time.Duration {
+	cached := s.cache.cachedTokens(need.Parts)
+	uncached := need.tokens() - cached
 	shared := 0
-	if !home && len(need.Parts) > 1 {
-		shared = max(0, need.tokens()-need.Parts[len(need.Parts)-1].Tokens-kept)
+	if !affinity && len(need.Parts) > 1 {
+		shared = max(0, need.tokens()-need.Parts[len(need.Parts)-1].Tokens-cached)
 	}
-	return readTime(s.reading+unread+readAgainCost*shared, slowness) + time.Duration(len(s.calls))*batchCost
+	return prefillTime(s.pendingPrefill+uncached+sharedPrefillFactor*shared, slowness) + time.Duration(len(s.calls))*batchCost
 }
 
-// readAgainCost is by how much the reading of shared parts that are kept elsewhere is
-// weighed over that of a request's own part.
-const readAgainCost = 6
+// sharedPrefillFactor is the weight of repeated prefill of shared parts relative to a request's
+// own part.
+const sharedPrefillFactor = 6
 
-func readTime(tokens int, slowness float64) time.Duration {
-	return time.Duration(slowness * float64(tokens) / tokensPerSecond * float64(time.Second))
+func prefillTime(tokens int, slowness float64) time.Duration {
+	return time.Duration(slowness * float64(tokens) / prefillTokensPerSecond * float64(time.Second))
 }
 
-func (s *seen) overdue(now time.Time) bool {
+func (s *endpointState) overdue(now time.Time) bool {
 	for c := range s.calls {
-		usual := max(s.smoothed, c.expected)
-		if !c.begun && now.Sub(c.begin) > overdueFactor*usual+overdueSlack {
+		expected := max(s.latency, c.expected)
+		if !c.responseStarted && now.Sub(c.startedAt) > overdueFactor*expected+overdueSlack {
 			return true
 		}
 	}
 	return false
 }
 
-// homeOf returns the endpoint that is first for the shared parts of a prompt, so that all
-// instances send kindred requests to the same one; empty if there is none. The last part
-// is the request's own.
-func (b *Balancer) homeOf(now time.Time, candidates []fleet.Endpoint, need Need) string {
+// affinityTarget returns the endpoint that rendezvous hashing assigns to the shared parts of the
+// prompt, so that all instances send requests with a common prefix to the same engine. It returns
+// an empty string if there is none. The last part is never shared.
+func (b *Balancer) affinityTarget(now time.Time, candidates []fleet.Endpoint, need Need) string {
 	if !need.Engine || len(need.Parts) < 2 {
 		return ""
 	}
-	text := append(make([]byte, 0, hashedText), need.Parts[len(need.Parts)-2].ID+"/"...)
-	home, most := "", uint64(0)
+	text := append(make([]byte, 0, hashBufferSize), need.Parts[len(need.Parts)-2].ID+"/"...)
+	target, highest := "", uint64(0)
 	for i := range candidates {
 		id := candidates[i].ID
-		if now.Before(b.look(id).outUntil) {
+		if now.Before(b.peek(id).ejectedUntil) {
 			continue
 		}
-		if weight := xxhash.Sum64(append(text, id...)); home == "" || weight > most {
-			home, most = id, weight
+		if weight := xxhash.Sum64(append(text, id...)); target == "" || weight > highest {
+			target, highest = id, weight
 		}
 	}
-	return home
+	return target
 }
 
-// hashedText is room for the texts that are hashed, in bytes, so that none is allocated for each endpoint.
-const hashedText = 128
+// hashBufferSize is the capacity of the buffer for hash inputs, which avoids an allocation per
+// endpoint.
+const hashBufferSize = 128
 
-// Expect returns the time to the first event, and the failure domain of the endpoint, that
-// a call which is made some time later is likely to have.
+// Estimate returns the expected time to the first event of a later call, and the failure domain of
+// the endpoint that would serve it.
 func (b *Balancer) Expect(candidates []fleet.Endpoint, need Need) (time.Duration, string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -315,39 +319,39 @@
 	if best == nil {
 		return 0, need.Domain
 	}
-	s := b.look(best.ID)
+	s := b.peek(best.ID)
 	if !need.Engine {
-		return s.smoothed, best.FailureDomain
+		return s.latency, best.FailureDomain
 	}
-	return firstEventTime + readTime(need.tokens()-s.kept.match(need.Parts), s.slowness), best.FailureDomain
+	return cachedFirstEvent + prefillTime(need.tokens()-s.cache.cachedTokens(need.Parts), s.slowness), best.FailureDomain
 }
 
-// firstEventTime is the time to the first event of a prompt that is kept whole.
-const firstEventTime = 60 * time.Millisecond
+// cachedFirstEvent is the expected time to the first event for a fully cached prompt.
+const cachedFirstEvent = 60 * time.Millisecond
 
-// Begun says that the first event came, or the answer's head for other calls.
+// ResponseStarted records the first event of a stream, or the response header of other calls.
 func (c *Call) Begun() {
 	b := c.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if c.begun || c.ended {
+	if c.responseStarted || c.ended {
 		return
 	}
-	c.begun = true
-	delete(b.silent, c.Endpoint.FailureDomain)
-	s := b.seen(c.Endpoint.ID)
+	c.responseStarted = true
+	delete(b.silentUntil, c.Endpoint.FailureDomain)
+	s := b.state(c.Endpoint.ID)
 	now := b.clock.Now()
-	took := now.Sub(c.begin)
-	if s.sampled.IsZero() {
-		s.smoothed = took
+	took := now.Sub(c.startedAt)
+	if s.sampledAt.IsZero() {
+		s.latency = took
 	}
-	// What is forgotten of the samples before is this one's weight.
-	weight := max(sampleWeight, 1-s.known(now))
-	s.smoothed += time.Duration(weight * float64(took-s.smoothed))
-	s.sampled = now
-	s.reading -= c.unread
-	s.kept.add(c.parts)
-	if c.expected > minReadSample {
+	// The new sample takes at least the weight that older samples have lost.
+	weight := max(sampleWeight, 1-s.freshness(now))
+	s.latency += time.Duration(weight * float64(took-s.latency))
+	s.sampledAt = now
+	s.pendingPrefill -= c.uncached
+	s.cache.add(c.parts)
+	if c.expected > minPrefillSample {
 		ratio := float64(took) / float64(c.expected) * s.slowness
 		s.slowness += sampleWeight * (min(ratio, maxSlowness) - s.slowness)
 		s.slowness = max(s.slowness, minSlowness)
@@ -355,30 +359,30 @@
 }
 
 const (
-	// minReadSample is the shortest expected reading whose time is learnt from.
-	minReadSample = 20 * time.Millisecond
-	minSlowness   = 0.5
-	maxSlowness   = 20
+	// minPrefillSample is the shortest expected prefill time that updates the slowness.
+	minPrefillSample = 20 * time.Millisecond
+	minSlowness      = 0.5
+	maxSlowness      = 20
 )
 
-// Outcome is how a call ended.
+// Outcome is the result of a call for the endpoint's health.
 type Outcome int
 
-// The outcomes.
+// Call outcomes.
 const (
-	// Well: the endpoint did its work.
+	// Succeeded: the endpoint completed the call.
 	Well Outcome = iota
-	// Refused: it did not take the call.
+	// Refused: the endpoint rejected the call.
 	Refused
-	// Unreachable: no connection was made.
+	// Unreachable: the connection failed.
 	Unreachable
-	// Bad: it failed, or broke off, or gave no answer.
+	// Failed: the response was an error, incomplete or missing.
 	Bad
-	// Canceled: the call ended for reasons that are not the endpoint's.
+	// Canceled: the call ended for reasons unrelated to the endpoint.
 	Canceled
 )
 
-// End counts the call out. The load is what the endpoint told just now, or nil.
+// End unregisters the call. The load is the one reported with the response, or nil.
 func (c *Call) End(outcome Outcome, load *Load) {
 	b := c.balancer
 	b.mu.Lock()
@@ -387,58 +391,57 @@
 		return
 	}
 	c.ended = true
-	s := b.seen(c.Endpoint.ID)
+	s := b.state(c.Endpoint.ID)
 	delete(s.calls, c)
-	if !c.begun {
-		s.reading -= c.unread
+	if !c.responseStarted {
+		s.pendingPrefill -= c.uncached
 	}
 	now := b.clock.Now()
 	if load != nil {
 		s.load, s.loadAt = *load, now
 	}
-	if outcome == Unreachable && now.Sub(c.begin) >= silentAfter {
-		b.silent[c.Endpoint.FailureDomain] = now.Add(silentFor)
+	if outcome == Unreachable && now.Sub(c.startedAt) >= minSilence {
+		b.silentUntil[c.Endpoint.FailureDomain] = now.Add(silenceDuration)
 	}
-	s.judge(now, outcome)
+	s.recordOutcome(now, outcome)
 }
 
-func (s *seen) judge(now time.Time, outcome Outcome) {
+func (s *endpointState) recordOutcome(now time.Time, outcome Outcome) {
 	switch outcome {
 	case Well:
-		s.failures, s.out = 0, 0
+		s.failures, s.ejection = 0, 0
 	case Unreachable:
-		s.leaveOut(now)
+		s.eject(now)
 	case Bad:
-		if s.failures++; s.failures >= failuresOut {
-			s.leaveOut(now)
+		if s.failures++; s.failures >= failuresToEject {
+			s.eject(now)
 		}
 	case Refused:
-		s.outUntil = now.Add(refusedOut)
+		s.ejectedUntil = now.Add(refusalEjection)
 	case Canceled:
 	}
 }
 
-// refusedOut is how long an endpoint that refused a call is left out.
-const refusedOut = 100 * time.Millisecond
+// refusalEjection is the ejection time after a rejected call.
+const refusalEjection = 100 * time.Millisecond
 
-func (s *seen) leaveOut(now time.Time) {
-	s.out = min(lastOut, max(firstOut, 2*s.out))
-	s.outUntil = now.Add(s.out)
+func (s *endpointState) eject(now time.Time) {
+	s.ejection = min(maxEjection, max(minEjection, 2*s.ejection))
+	s.ejectedUntil = now.Add(s.ejection)
 }
 
-// Rest is how long it takes until one of the endpoints wants work again, where all want rest; 0 if one
-// wants none.
-func (b *Balancer) Rest(endpoints []fleet.Endpoint) time.Duration { return b.rests.Least(endpoints) }
+// Backoff is the time until the first of the endpoints accepts calls again, or 0 if one does now.
+func (b *Balancer) Rest(endpoints []fleet.Endpoint) time.Duration { return b.backoffs.Least(endpoints) }
 
-// Return is when a caller may come back where all endpoints want rest.
+// RetryAfter suggests when a caller should retry if all endpoints are backing off.
 func (b *Balancer) Return(endpoints []fleet.Endpoint, soon time.Duration) time.Duration {
-	return b.rests.Return(endpoints, soon)
+	return b.backoffs.Return(endpoints, soon)
 }
 
-// Limited tells whether limits for all keep this instance from calling any of the endpoints now.
-func (b *Balancer) Limited(endpoints []fleet.Endpoint) bool { return b.rests.Limited(endpoints) }
+// Limited reports whether a shared rate limit currently blocks calls to any of the endpoints.
+func (b *Balancer) Limited(endpoints []fleet.Endpoint) bool { return b.backoffs.Limited(endpoints) }
 
-// InFlight returns this instance's calls in flight at an endpoint.
+// InFlight returns the number of calls of this instance at an endpoint.
 func (b *Balancer) InFlight(id string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -448,7 +451,7 @@
 	return 0
 }
 
-// Forget drops what was seen of endpoints that are not known any more.
+// Forget drops the state of endpoints that no longer exist.
 func (b *Balancer) Forget(known func(id string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/balance/cold.go
+++ b/pkg/balance/cold.go
@@ -9,67 +9,64 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-// An endpoint that has just started, or whose failure domain was evacuated, is cold: for some
-// seconds it bears few requests a second, from all instances together, and collapses under more.
-// No instance knows what the others send, and a share of the bound for each would be less than one
-// request a second (20 over 59 instances), so that none is sent while any endpoint of the service is
-// warm. If all are cold, each has one instance that alone sends to it, its sponsor.
+// An endpoint that has just started, or whose failure domain has returned from an evacuation, is
+// cold: it can serve only a few requests per second from all instances together. Dividing that
+// rate among all instances would leave each less than one request per second. Cold endpoints are
+// therefore avoided while any endpoint of the service is warm; if all are cold, each is used by a
+// single instance, its warm-up owner.
 
 const (
-	// presumedCold is how long the endpoints of a failure domain are taken to be cold after it has
-	// returned: they may have turned cold shortly before. Their entries tell so a heartbeat (1.2 s),
-	// the source's delay (0.8 s) and a relay's watch (0.4 s) later.
-	presumedCold = 2500 * time.Millisecond
-	// sponsoredPart is the part of what a cold endpoint bears that its sponsor sends. Instances that
-	// do not reach each other have a sponsor each; with four failure domains that are all cut off
-	// from each other, and a bound of ten a second, five requests each are within half as many again
-	// and five.
-	sponsoredPart = 0.4
+	// coldAfterReturn is how long the endpoints of a returned failure domain are assumed to be
+	// cold. It covers the delay until their entries report it: heartbeat interval, discovery delay
+	// and relay watch.
+	coldAfterReturn = 2500 * time.Millisecond
+	// warmupShare is the fraction of a cold endpoint's rate that its warm-up owner uses. It is
+	// below 1 because partitioned instances may each consider themselves the owner.
+	warmupShare = 0.4
 )
 
-// Cold says what the cold endpoints of a service bear.
+// ColdLimit limits the requests to the cold endpoints of a service.
 type Cold struct {
-	// PerSecond is how many requests a second one bears, from all callers; 0: no bound.
+	// PerSecond is the request rate that a cold endpoint can serve in total; 0 for no limit.
 	PerSecond float64
-	// Sponsors tells whether this instance alone sends to an endpoint that is cold; nil: none.
+	// IsOwner reports whether this instance is the warm-up owner of an endpoint; nil if it owns
+	// none.
 	Sponsors func(endpoint string) bool
 }
 
-// pause is the least time between two requests of a sponsor.
-func (c Cold) pause() time.Duration {
-	return time.Duration(float64(time.Second) / (sponsoredPart * c.PerSecond))
+// minInterval is the minimum time between two requests of a warm-up owner.
+func (c Cold) minInterval() time.Duration {
+	return time.Duration(float64(time.Second) / (warmupShare * c.PerSecond))
 }
 
-// Sponsors tells whether an instance, of all that live, is the sponsor of an endpoint: the first by
-// rendezvous hashing.
+// IsWarmupOwner reports whether an instance ranks first among the live instances for an endpoint
+// by rendezvous hashing.
 func Sponsors(instance string, others []string, endpoint string) bool {
 	weight := func(name string) uint64 { return xxhash.Sum64String("sponsor/" + endpoint + "/" + name) }
 	own := weight(instance)
 	return !slices.ContainsFunc(others, func(other string) bool { return weight(other) > own })
 }
 
-// coldness is what is known of how long one endpoint stays cold.
-type coldness struct {
-	// toldIn is the revision of the entry that was last learnt from, and returned that as of which
-	// the failure domain was.
-	toldIn   uint64
+// coldState tracks until when an endpoint is cold.
+type coldState struct {
+	// revision and returned are those of the last endpoint entry that was applied.
+	revision uint64
 	returned uint64
 	until    time.Time
-	// sentAt is when a request was last sent to it while it was cold.
+	// sentAt is when this instance last sent a request to the endpoint while it was cold.
 	sentAt time.Time
 }
 
-// learn takes in what the endpoint's entry says. It counts from when it was learnt, which is not
-// before it was told.
-func (c *coldness) learn(now time.Time, e *fleet.Endpoint) {
-	told := now.Add(time.Duration(e.ColdMs) * time.Millisecond)
+// update applies an endpoint entry. Durations count from the time of receipt.
+func (c *coldState) update(now time.Time, e *fleet.Endpoint) {
+	reported := now.Add(time.Duration(e.ColdMs) * time.Millisecond)
 	switch {
 	case e.Returned != c.returned:
-		c.until = later(told, now.Add(presumedCold))
-	case e.ColdRevision != c.toldIn:
-		c.until = told
+		c.until = later(reported, now.Add(coldAfterReturn))
+	case e.ColdRevision != c.revision:
+		c.until = reported
 	}
-	c.toldIn, c.returned = e.ColdRevision, e.Returned
+	c.revision, c.returned = e.ColdRevision, e.Returned
 }
 
 func later(a, b time.Time) time.Time {
@@ -79,56 +76,56 @@
 	return b
 }
 
-func (c *coldness) cold(now time.Time) bool { return now.Before(c.until) }
+func (c *coldState) cold(now time.Time) bool { return now.Before(c.until) }
 
-// usable returns the endpoints that a call may go to: of those that want no rest those that are warm, or if
-// none of them is left the cold ones that this instance may send a request to now.
+// usable filters out endpoints that are backing off. Of the remaining ones it returns the warm
+// endpoints or, if there are none, the cold ones that this instance may call now.
 func (b *Balancer) usable(now time.Time, candidates []fleet.Endpoint, need Need) []fleet.Endpoint {
-	candidates = b.rests.Awake(candidates)
-	if need.Cold.PerSecond <= 0 || !b.learnCold(now, candidates) {
+	candidates = b.backoffs.Awake(candidates)
+	if need.Cold.PerSecond <= 0 || !b.updateCold(now, candidates) {
 		return candidates
 	}
-	left := false
+	remaining := false
 	warm := make([]fleet.Endpoint, 0, len(candidates))
 	for _, e := range candidates {
-		if !b.look(e.ID).cold.cold(now) {
+		if !b.peek(e.ID).cold.cold(now) {
 			warm = append(warm, e)
-			left = left || !need.Exclude[e.ID]
+			remaining = remaining || !need.Exclude[e.ID]
 		}
 	}
-	if left {
+	if remaining {
 		return warm
 	}
-	return b.sponsored(now, candidates, need)
+	return b.targets(now, candidates, need)
 }
 
-// learnCold takes in what the entries of endpoints say, and tells whether any is cold.
-func (b *Balancer) learnCold(now time.Time, candidates []fleet.Endpoint) bool {
+// updateCold applies the endpoint entries and reports whether any endpoint is cold.
+func (b *Balancer) updateCold(now time.Time, candidates []fleet.Endpoint) bool {
 	cold := false
 	for i := range candidates {
 		e := &candidates[i]
 		if b.endpoints[e.ID] == nil && e.ColdRevision == 0 && e.Returned == 0 {
-			// It is warm, and there is nothing to learn of it.
+			// The endpoint was never called or reported as cold.
 			continue
 		}
-		s := b.seen(e.ID)
-		s.cold.learn(now, e)
+		s := b.state(e.ID)
+		s.cold.update(now, e)
 		cold = cold || s.cold.cold(now)
 	}
 	return cold
 }
 
-// sponsored returns the cold endpoints that this instance may send a request to now.
-func (b *Balancer) sponsored(now time.Time, candidates []fleet.Endpoint, need Need) []fleet.Endpoint {
+// warmupTargets returns the cold endpoints that this instance may call now as their warm-up owner.
+func (b *Balancer) targets(now time.Time, candidates []fleet.Endpoint, need Need) []fleet.Endpoint {
 	if need.Cold.Sponsors == nil {
 		return nil
 	}
-	var sponsored []fleet.Endpoint
+	var targets []fleet.Endpoint
 	for _, e := range candidates {
-		c := &b.look(e.ID).cold
-		if c.cold(now) && now.Sub(c.sentAt) >= need.Cold.pause() && need.Cold.Sponsors(e.ID) {
-			sponsored = append(sponsored, e)
+		c := &b.peek(e.ID).cold
+		if c.cold(now) && now.Sub(c.sentAt) >= need.Cold.minInterval() && need.Cold.Sponsors(e.ID) {
+			targets = append(targets, e)
 		}
 	}
-	return sponsored
+	return targets
 }
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -14,8 +14,8 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-// coldPerSecond is what a cold endpoint of these tests bears, and coldBound what it may get in any
-// second from all instances together: half as many again, and five.
+// coldPerSecond is the rate limit of a cold endpoint, and coldBound the number of requests that it
+// may receive in any one second: 1.5 times the limit plus five.
 const (
 	coldPerSecond = 10
 	coldBound     = 20
@@ -31,22 +31,22 @@
 
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
-		b = balance.New(clock, restless(clock))
+		b = balance.New(clock, noBackoffs(clock))
 		all, revision = nil, 0
 		for n := range 6 {
 			all = append(all, fleet.Endpoint{ID: fmt.Sprintf("e%d", n), FailureDomain: "a", Slots: 4})
 		}
 	})
 
-	need := func(sponsors bool) balance.Need {
+	need := func(owner bool) balance.Need {
 		return balance.Need{
 			Engine: true,
 			Parts:  []balance.Part{{ID: "system", Tokens: 100}, {ID: "subject", Tokens: 4000}, {ID: "own", Tokens: 10}},
-			Cold:   balance.Cold{PerSecond: coldPerSecond, Sponsors: func(string) bool { return sponsors }},
+			Cold:   balance.Cold{PerSecond: coldPerSecond, Sponsors: func(string) bool { return owner }},
 		}
 	}
 
-	// picks counts the calls that each endpoint gets of one in each 5 ms.
+	// picks makes n calls at 5 ms intervals and counts them per endpoint.
 	picks := func(n int, need balance.Need) map[string]int {
 		chosen := map[string]int{}
 		for range n {
@@ -60,7 +60,7 @@
 		return chosen
 	}
 
-	// setCold has the entries of some endpoints say how long they are cold.
+	// setCold updates the entries of the given endpoints.
 	setCold := func(lasts time.Duration, endpoints ...int) {
 		changed := slices.Clone(all)
 		for _, n := range endpoints {
@@ -73,7 +73,7 @@
 		all = changed
 	}
 
-	It("get nothing while others are warm, whatever speaks for them, and are used again when they are warm", func() {
+	It("receive no calls while others are warm, and are used once warm", func() {
 		first := b.Pick(all, need(true))
 		first.Begun()
 		first.End(balance.Well, nil)
@@ -91,7 +91,7 @@
 		Expect(picks(200, balance.Need{Cold: need(true).Cold})).To(HaveKey(home))
 	})
 
-	It("are warm as soon as their entries say so, and cold again whenever they do", func() {
+	It("follow changes of their entries", func() {
 		setCold(time.Minute, 0, 1, 2, 3, 4)
 		Expect(picks(50, need(false))).To(HaveKey("e5"))
 		setCold(0, 0, 1, 2, 3, 4)
@@ -99,7 +99,7 @@
 		Expect(picks(50, need(false))).NotTo(HaveKey("e5"))
 	})
 
-	It("are cold once more when an entry says the same as the one before", func() {
+	It("become cold when an entry with a new revision repeats the same duration", func() {
 		setCold(time.Second, 0)
 		Expect(picks(10, balance.Need{Cold: need(false).Cold})).NotTo(HaveKey("e0"))
 		clock.Advance(2 * time.Second)
@@ -108,7 +108,7 @@
 		Expect(picks(100, balance.Need{Cold: need(false).Cold})).NotTo(HaveKey("e0"))
 	})
 
-	It("are those of a failure domain that has returned, for a while, though no entry tells it yet", func() {
+	It("include those of a returned failure domain before their entries report it", func() {
 		for n := range 3 {
 			all[n].Returned = 9
 		}
@@ -118,44 +118,45 @@
 		Expect(picks(200, balance.Need{Cold: need(true).Cold})).To(HaveLen(6))
 	})
 
-	It("get nothing from an instance that is not their sponsor, though all are cold", func() {
+	It("receive no calls from instances other than their warm-up owner", func() {
 		setCold(time.Minute, 0, 1, 2, 3, 4, 5)
 		Expect(picks(100, need(false))).To(BeEmpty())
 	})
 
-	It("get what they bear from their sponsor when all are cold", func() {
+	It("receive calls at a limited rate from their warm-up owner when all are cold", func() {
 		setCold(time.Minute, 0, 1, 2, 3, 4, 5)
 		for _, n := range picks(1000, need(true)) {
-			Expect(n).To(BeNumerically("<=", 21), "four a second for five seconds")
+			Expect(n).To(BeNumerically("<=", 21), "4/s for 5 s, plus one")
 		}
 	})
 
-	It("matter only where the configuration bounds what they bear", func() {
+	It("are treated as warm without a configured limit", func() {
 		setCold(time.Minute, 0, 1, 2, 3, 4, 5)
 		Expect(picks(100, balance.Need{})).NotTo(BeEmpty())
 	})
 
-	It("never get more than they bear from all instances together, whoever knows of whom", func() {
-		rapid.Check(GinkgoT(), playCold)
+	It("never exceed their rate limit during restarts and partitions", func() {
+		rapid.Check(GinkgoT(), checkColdLimit)
 	})
 })
 
-// playCold has many instances send to endpoints that are all cold, while instances start, end, and are
-// cut off from each other by failure domain, and counts what each endpoint gets in any second.
-func playCold(t *rapid.T) {
+// checkColdLimit simulates instances that send to cold endpoints while they restart and their
+// failure domains are partitioned, and checks the request rate at each endpoint.
+func checkColdLimit(t *rapid.T) {
 	const domains = 4
 	clock := clockwork.NewFakeClock()
 	instances := rapid.IntRange(1, 60).Draw(t, "instances")
 	endpoints := []fleet.Endpoint{{ID: "x", ColdMs: time.Hour.Milliseconds(), ColdRevision: 1}, {ID: "y", ColdMs: time.Hour.Milliseconds(), ColdRevision: 2}}
 	balancers := make([]*balance.Balancer, instances)
 	for n := range balancers {
-		balancers[n] = balance.New(clock, restless(clock))
+		balancers[n] = balance.New(clock, noBackoffs(clock))
 	}
-	// group is the side of a cut on which a failure domain is; joined is when an instance knows others.
+	// group is the side of the partition that a failure domain is on; joined is when an instance
+	// has learnt of the others.
 	var group [domains]int
 	joined := make([]time.Time, instances)
 	name := func(n int) string { return fmt.Sprintf("instance-%d", n) }
-	sponsors := func(n int) func(string) bool {
+	owner := func(n int) func(string) bool {
 		return func(endpoint string) bool {
 			if clock.Now().Before(joined[n]) {
 				return false
@@ -171,7 +172,7 @@
 	}
 	arrivals := map[string][]time.Time{}
 	send := func(n int) {
-		c := balancers[n].Pick(endpoints, balance.Need{Cold: balance.Cold{PerSecond: coldPerSecond, Sponsors: sponsors(n)}})
+		c := balancers[n].Pick(endpoints, balance.Need{Cold: balance.Cold{PerSecond: coldPerSecond, Sponsors: owner(n)}})
 		if c == nil {
 			return
 		}
@@ -188,15 +189,15 @@
 				clock.Advance(50 * time.Millisecond)
 			}
 		},
-		"cut": func(t *rapid.T) {
+		"partition": func(t *rapid.T) {
 			domain := rapid.IntRange(0, domains-1).Draw(t, "domain")
 			group[domain] = rapid.IntRange(0, domains-1).Draw(t, "side")
-			// Members are known a while later.
+			// Membership changes are detected with a delay.
 			clock.Advance(time.Second)
 		},
 		"restart": func(t *rapid.T) {
 			n := rapid.IntRange(0, instances-1).Draw(t, "instance")
-			balancers[n] = balance.New(clock, restless(clock))
+			balancers[n] = balance.New(clock, noBackoffs(clock))
 			joined[n] = clock.Now().Add(3 * time.Second)
 		},
 		"": func(t *rapid.T) {
--- a/pkg/balance/many_bench_test.go
+++ b/pkg/balance/many_bench_test.go
@@ -18,7 +18,7 @@
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			clock := clockwork.NewFakeClock()
-			chooser := balance.New(clock, restless(clock))
+			chooser := balance.New(clock, noBackoffs(clock))
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				need := balance.Need{Engine: true, Domain: "zone-1", Parts: []balance.Part{{ID: "system", Tokens: 500}, {ID: fmt.Sprint("s", i%300), Tokens: 5000}, {ID: fmt.Sprint(i), Tokens: 1000}}}
--- a/pkg/balance/options.go
+++ b/pkg/balance/options.go
@@ -8,106 +8,103 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-// Option is an endpoint that a call may go to.
+// Option is a candidate endpoint for a call.
 type Option struct {
 	Endpoint fleet.Endpoint
-	// Cost is the expected time of the call there, with what speaks against it.
+	// Cost is the expected latency of the call including penalties.
 	Cost time.Duration
-	// Reading is the part of it that reading the prompt takes.
+	// Reading is the share of Cost that is prompt prefill.
 	Reading time.Duration
 }
 
-// Options returns the endpoints with the least cost, and those of the other failure
-// domains, at most so many, from the best on. Those that are left out for failures are not
-// among them.
+// Options returns up to most endpoints in order of cost: the best ones overall and the best of
+// each other failure domain. Ejected endpoints are omitted.
 func (b *Balancer) Options(candidates []fleet.Endpoint, need Need, most int) []Option {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
 	candidates = b.usable(now, candidates, need)
-	home := b.homeOf(now, candidates, need)
-	usual := b.usual(now, candidates)
-	var best bestOf
+	affinity := b.affinityTarget(now, candidates, need)
+	averages := b.averages(now, candidates)
+	var best topPerDomain
 	for i := range candidates {
 		e := &candidates[i]
-		if need.Exclude[e.ID] || now.Before(b.look(e.ID).outUntil) {
+		if need.Exclude[e.ID] || now.Before(b.peek(e.ID).ejectedUntil) {
 			continue
 		}
-		best.add(e, b.cost(now, e, need, usual, e.ID == home))
+		best.add(e, b.cost(now, e, need, averages, e.ID == affinity))
 	}
-	kept := diverse(best.sorted(), most)
-	options := make([]Option, len(kept))
-	for i, k := range kept {
-		s := b.look(k.endpoint.ID)
-		unread := need.tokens() - s.kept.match(need.Parts)
-		options[i] = Option{Endpoint: *k.endpoint, Cost: time.Duration(k.cost * float64(time.Millisecond)), Reading: readTime(unread, s.slowness)}
+	chosen := diversify(best.sorted(), most)
+	options := make([]Option, len(chosen))
+	for i, k := range chosen {
+		s := b.peek(k.endpoint.ID)
+		uncached := need.tokens() - s.cache.cachedTokens(need.Parts)
+		options[i] = Option{Endpoint: *k.endpoint, Cost: time.Duration(k.cost * float64(time.Millisecond)), Reading: prefillTime(uncached, s.slowness)}
 	}
 	return options
 }
 
-// priced is an endpoint with its cost.
-type priced struct {
+type candidate struct {
 	endpoint *fleet.Endpoint
 	cost     float64
 }
 
-// bestOf keeps the endpoints that may be among the best options: the bestOptions of each failure domain. Of thousands
-// not all are sorted.
-type bestOf map[string][]priced
+// topPerDomain keeps the topOptions cheapest endpoints of each failure domain, which avoids
+// sorting all candidates.
+type topPerDomain map[string][]candidate
 
-func (o *bestOf) add(e *fleet.Endpoint, cost float64) {
+func (o *topPerDomain) add(e *fleet.Endpoint, cost float64) {
 	if *o == nil {
-		*o = bestOf{}
+		*o = topPerDomain{}
 	}
 	list := (*o)[e.FailureDomain]
 	at := len(list)
 	for at > 0 && cost < list[at-1].cost {
 		at--
 	}
-	if at == bestOptions {
+	if at == topOptions {
 		return
 	}
-	list = slices.Insert(list, at, priced{e, cost})
-	(*o)[e.FailureDomain] = list[:min(len(list), bestOptions)]
+	list = slices.Insert(list, at, candidate{e, cost})
+	(*o)[e.FailureDomain] = list[:min(len(list), topOptions)]
 }
 
-// sorted returns them, the best first.
-func (o *bestOf) sorted() []priced {
-	var all []priced
+// sorted returns the kept endpoints in order of cost.
+func (o *topPerDomain) sorted() []candidate {
+	var all []candidate
 	for _, list := range *o {
 		all = append(all, list...)
 	}
-	slices.SortFunc(all, func(a, b priced) int { return cmp.Compare(a.cost, b.cost) })
+	slices.SortFunc(all, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
 	return all
 }
 
-// bestOptions is how many of the best options are kept whatever their failure domain.
-const bestOptions = 2
+// topOptions is the number of options that are returned regardless of their failure domain.
+const topOptions = 2
 
-// diverse keeps the best options, and the best of each other failure domain, at most so
-// many in order.
-func diverse(options []priced, most int) []priced {
-	var kept []priced
+// diversify returns the best options and the best of each other failure domain, up to most.
+func diversify(options []candidate, most int) []candidate {
+	var selected []candidate
 	domains := map[string]bool{}
 	for _, option := range options {
 		domain := option.endpoint.FailureDomain
-		if len(kept) < most && (len(kept) < bestOptions || !domains[domain]) {
-			kept = append(kept, option)
+		if len(selected) < most && (len(selected) < topOptions || !domains[domain]) {
+			selected = append(selected, option)
 			domains[domain] = true
 		}
 	}
-	return kept
+	return selected
 }
 
-// preferred counts a call in at the endpoint that a need prefers, unless something speaks
-// against that one; nil then.
-func (b *Balancer) preferred(now time.Time, candidates []fleet.Endpoint, need Need) *Call {
+// pickPreferred registers the call with the preferred endpoint, or returns nil if that is
+// excluded, ejected or has an overdue call.
+func (b *Balancer) pickPreferred(now time.Time, candidates []fleet.Endpoint, need Need) *Call {
 	for _, e := range candidates {
 		if e.ID != need.Prefer {
 			continue
 		}
-		s := b.look(e.ID)
-		if need.Exclude[e.ID] || now.Before(s.outUntil) || s.overdue(now) {
+		s := b.peek(e.ID)
+		if need.Exclude[e.ID] || now.Before(s.ejectedUntil) || s.overdue(now) {
 			return nil
 		}
 		return b.begin(now, e, need)
--- a/pkg/balance/rest_test.go
+++ b/pkg/balance/rest_test.go
@@ -12,23 +12,23 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/notice"
 )
 
-var _ = Describe("endpoints that want rest", func() {
+var _ = Describe("endpoints that are backing off", func() {
 	var (
-		clock *clockwork.FakeClock
-		rests *notice.Rests
-		b     *balance.Balancer
+		clock    *clockwork.FakeClock
+		backoffs *notice.Rests
+		b        *balance.Balancer
 	)
 	all := []fleet.Endpoint{{ID: "a", FailureDomain: "d"}, {ID: "b", FailureDomain: "d"}}
 
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
-		rests = restless(clock)
-		b = balance.New(clock, rests)
+		backoffs = noBackoffs(clock)
+		b = balance.New(clock, backoffs)
 	})
 
-	DescribeTable("are not chosen, by whichever way",
+	DescribeTable("are not selected",
 		func(need balance.Need) {
-			rests.Ask("a", time.Second)
+			backoffs.Ask("a", time.Second)
 			for range 20 {
 				call := b.Pick(all, need)
 				Expect(call.Endpoint.ID).To(Equal("b"))
@@ -38,14 +38,14 @@
 			clock.Advance(time.Second)
 			Expect(b.Options(all, need, 2)).To(HaveLen(2))
 		},
-		Entry("the least cost", balance.Need{}),
-		Entry("as a model engine, with parts", balance.Need{Engine: true, Parts: []balance.Part{{ID: "shared", Tokens: 100}, {ID: "own", Tokens: 1}}}),
-		Entry("preferred", balance.Need{Prefer: "a"}),
-		Entry("apart from others", balance.Need{Apart: "x"}),
+		Entry("by cost", balance.Need{}),
+		Entry("by prompt affinity", balance.Need{Engine: true, Parts: []balance.Part{{ID: "shared", Tokens: 100}, {ID: "own", Tokens: 1}}}),
+		Entry("by preference", balance.Need{Prefer: "a"}),
+		Entry("by isolation key", balance.Need{Apart: "x"}),
 	)
 
-	It("are no last resort, unlike those that are left out for failures", func() {
-		rests.Ask("a", 3*time.Second)
+	It("are not used as a last resort, unlike ejected endpoints", func() {
+		backoffs.Ask("a", 3*time.Second)
 		for range 2 {
 			b.Pick(all, balance.Need{}).End(balance.Unreachable, nil)
 		}
@@ -54,10 +54,10 @@
 		Expect(call.Endpoint.ID).To(Equal("b"))
 		call.End(balance.Canceled, nil)
 		Expect(b.Rest(all)).To(BeZero())
-		rests.Ask("b", 2*time.Second)
+		backoffs.Ask("b", 2*time.Second)
 		Expect(b.Pick(all, balance.Need{})).To(BeNil())
 		Expect(b.Rest(all)).To(Equal(2 * time.Second))
 		expected, _ := b.Expect(all, balance.Need{})
-		Expect(expected).To(BeZero(), "nothing is known of a call that can't be made")
+		Expect(expected).To(BeZero(), "no endpoint is available")
 	})
 })
--- a/pkg/balance/slowness_test.go
+++ b/pkg/balance/slowness_test.go
@@ -11,7 +11,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-var _ = Describe("an endpoint that tells how long work takes there now", func() {
+var _ = Describe("an endpoint that reports its slowness", func() {
 	var (
 		clock *clockwork.FakeClock
 		b     *balance.Balancer
@@ -20,7 +20,7 @@
 
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
-		b = balance.New(clock, restless(clock))
+		b = balance.New(clock, noBackoffs(clock))
 		all = []fleet.Endpoint{{ID: "slow", Slots: 4}, {ID: "usual", Slots: 4}}
 		tell := func(at int, slowness float64) {
 			c := b.Pick(all[at:at+1], balance.Need{})
@@ -45,17 +45,17 @@
 		return slow
 	}
 
-	It("is passed by while that is much, and used again when the word is old", func() {
+	It("is avoided while the report is recent", func() {
 		Expect(picks(40)).To(BeZero())
 		clock.Advance(2 * time.Second)
 		Expect(picks(40)).To(BeNumerically(">", 5))
 	})
 })
 
-var _ = Describe("an endpoint that was slow once", func() {
-	It("is tried again while the only other one is fast and has little to do", func() {
+var _ = Describe("an endpoint that was slow", func() {
+	It("is tried again although the other one is fast and idle", func() {
 		clock := clockwork.NewFakeClock()
-		b := balance.New(clock, restless(clock))
+		b := balance.New(clock, noBackoffs(clock))
 		all := []fleet.Endpoint{{ID: "slow", Slots: 8}, {ID: "fast", Slots: 8}}
 		times := map[string]time.Duration{"slow": 30 * time.Millisecond, "fast": 2 * time.Millisecond}
 		call := func(candidates []fleet.Endpoint) string {
@@ -67,7 +67,7 @@
 		}
 		call(all[:1])
 		call(all[1:])
-		// send sends light traffic for a time, and returns how many calls went to the slow one.
+		// send generates light traffic and returns the number of calls to the slow endpoint.
 		send := func(span time.Duration) int {
 			slow := 0
 			for until := clock.Now().Add(span); clock.Now().Before(until); clock.Advance(50 * time.Millisecond) {
@@ -77,9 +77,9 @@
 			}
 			return slow
 		}
-		Expect(send(15*time.Second)).To(And(BeNumerically(">=", 1), BeNumerically("<=", 15)), "of 290: it is as slow as before")
+		Expect(send(15*time.Second)).To(And(BeNumerically(">=", 1), BeNumerically("<=", 15)), "calls to the endpoint that is still slow, of 290")
 		times["slow"] = times["fast"]
 		send(15 * time.Second)
-		Expect(send(10*time.Second)).To(BeNumerically(">=", 50), "of 190: it is as fast as the other now")
+		Expect(send(10*time.Second)).To(BeNumerically(">=", 50), "calls to the endpoint that is as fast as the other, of 190")
 	})
 })
--- a/pkg/balance/usual.go
+++ b/pkg/balance/usual.go
@@ -7,51 +7,52 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-// usual is what calls take at the endpoints of a service, on average.
-type usual struct {
-	smoothed time.Duration
+// averages holds the mean latency and slowness over the endpoints of a service.
+type averages struct {
+	latency  time.Duration
 	slowness float64
 }
 
-// usual returns the means over the endpoints that have been called, each weighed by how lately something was learnt of it: an
-// old figure must not speak against its own endpoint for good, which is the less cheap for it the fewer there are.
-func (b *Balancer) usual(now time.Time, candidates []fleet.Endpoint) usual {
-	weights, smoothed, slowness := 0.0, 0.0, 0.0
+// averages returns the means over the called endpoints, weighted by the age of their samples.
+// Without the weights, an old sample of an endpoint would pull the mean towards itself, most of
+// all with few endpoints, and delay its next use.
+func (b *Balancer) averages(now time.Time, candidates []fleet.Endpoint) averages {
+	totalWeight, latency, slowness := 0.0, 0.0, 0.0
 	for i := range candidates {
-		s := b.look(candidates[i].ID)
-		if s.sampled.IsZero() {
+		s := b.peek(candidates[i].ID)
+		if s.sampledAt.IsZero() {
 			continue
 		}
-		weight := max(leastWeight, s.known(now))
-		weights += weight
-		smoothed += weight * float64(s.smoothed)
+		weight := max(minWeight, s.freshness(now))
+		totalWeight += weight
+		latency += weight * float64(s.latency)
 		slowness += weight * s.slowness
 	}
-	if weights == 0 {
-		return usual{smoothed: firstTime, slowness: 1}
+	if totalWeight == 0 {
+		return averages{latency: initialLatency, slowness: 1}
 	}
-	return usual{smoothed: time.Duration(smoothed / weights), slowness: slowness / weights}
+	return averages{latency: time.Duration(latency / totalWeight), slowness: slowness / totalWeight}
 }
 
-// leastWeight has endpoints count of which nothing was learnt for long where there are no others.
-const leastWeight = 1e-9
+// minWeight keeps stale endpoints in the mean if there are no others.
+const minWeight = 1e-9
 
-// forgetting is the time in which half of what sets an endpoint apart from the others is
-// forgotten, so that one that was slow is tried again.
-const forgetting = 2 * time.Second
+// sampleHalfLife is the half-life of an endpoint's deviation from the mean, so that an endpoint
+// that was slow is tried again.
+const sampleHalfLife = 2 * time.Second
 
-// at returns the smoothed time and slowness, moved towards the usual ones by the time
-// since something was learnt.
-func (s *seen) at(now time.Time, u usual) (time.Duration, float64) {
-	if s.sampled.IsZero() {
-		return u.smoothed, u.slowness
+// at returns the latency and slowness of the endpoint, which converge to the averages as its
+// samples age.
+func (s *endpointState) at(now time.Time, averages averages) (time.Duration, float64) {
+	if s.sampledAt.IsZero() {
+		return averages.latency, averages.slowness
 	}
-	known := s.known(now)
-	smoothed := u.smoothed + time.Duration(known*float64(s.smoothed-u.smoothed))
-	return smoothed, u.slowness + known*(s.slowness-u.slowness)
+	freshness := s.freshness(now)
+	latency := averages.latency + time.Duration(freshness*float64(s.latency-averages.latency))
+	return latency, averages.slowness + freshness*(s.slowness-averages.slowness)
 }
 
-// known is the part of what was learnt that is not forgotten.
-func (s *seen) known(now time.Time) float64 {
-	return math.Exp2(-float64(now.Sub(s.sampled)) / float64(forgetting))
+// freshness is the weight of the endpoint's samples: 1 when new, decaying to 0.
+func (s *endpointState) freshness(now time.Time) float64 {
+	return math.Exp2(-float64(now.Sub(s.sampledAt)) / float64(sampleHalfLife))
 }
