--- a/pkg/balance/backoff_test.go
+++ b/pkg/balance/backoff_test.go
@@ -27,7 +27,7 @@
 	})
 
 	DescribeTable("are not selected",
-		func(need balance.Need) {
+		func(need balance.CallSpec) {
 			backoffs.Ask("a", time.Second)
 			for range 20 {
 				call := b.Pick(all, need)
@@ -38,26 +38,26 @@
 			clock.Advance(time.Second)
 			Expect(b.Options(all, need, 2)).To(HaveLen(2))
 		},
-		Entry("by cost", balance.Need{}),
-		Entry("by prompt affinity", balance.Need{Engine: true, Parts: []balance.Part{{ID: "shared", Tokens: 100}, {ID: "own", Tokens: 1}}}),
-		Entry("by preference", balance.Need{Prefer: "a"}),
-		Entry("by isolation key", balance.Need{Apart: "x"}),
+		Entry("by cost", balance.CallSpec{}),
+		Entry("by prompt affinity", balance.CallSpec{Engine: true, Parts: []balance.Part{{ID: "shared", Tokens: 100}, {ID: "own", Tokens: 1}}}),
+		Entry("by preference", balance.CallSpec{Prefer: "a"}),
+		Entry("by isolation key", balance.CallSpec{IsolationKey: "x"}),
 	)
 
 	It("are not used as a last resort, unlike ejected endpoints", func() {
 		backoffs.Ask("a", 3*time.Second)
 		for range 2 {
-			b.Pick(all, balance.Need{}).End(balance.Unreachable, nil)
+			b.Pick(all, balance.CallSpec{}).End(balance.Unreachable, nil)
 		}
-		call := b.Pick(all, balance.Need{})
+		call := b.Pick(all, balance.CallSpec{})
 		Expect(call.LeftOut).To(BeTrue())
 		Expect(call.Endpoint.ID).To(Equal("b"))
 		call.End(balance.Canceled, nil)
 		Expect(b.Rest(all)).To(BeZero())
 		backoffs.Ask("b", 2*time.Second)
-		Expect(b.Pick(all, balance.Need{})).To(BeNil())
+		Expect(b.Pick(all, balance.CallSpec{})).To(BeNil())
 		Expect(b.Rest(all)).To(Equal(2 * time.Second))
-		expected, _ := b.Expect(all, balance.Need{})
+		expected, _ := b.Expect(all, balance.CallSpec{})
 		Expect(expected).To(BeZero(), "no endpoint is available")
 	})
 })
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -42,9 +42,9 @@
 		}
 	})
 
-	need := balance.Need{Domain: "a"}
+	need := balance.CallSpec{Domain: "a"}
 
-	picks := func(n int, need balance.Need) map[string]int {
+	picks := func(n int, need balance.CallSpec) map[string]int {
 		chosen := map[string]int{}
 		for range n {
 			c := b.Pick(all, need)
@@ -56,8 +56,8 @@
 		return chosen
 	}
 
-	prompt := func(subject, own string) balance.Need {
-		return balance.Need{Engine: true, Parts: []balance.Part{{ID: "system", Tokens: 500}, {ID: subject, Tokens: 5000}, {ID: own, Tokens: 1000}}}
+	prompt := func(subject, own string) balance.CallSpec {
+		return balance.CallSpec{Engine: true, Parts: []balance.Part{{ID: "system", Tokens: 500}, {ID: subject, Tokens: 5000}, {ID: own, Tokens: 1000}}}
 	}
 
 	It("prefers its own failure domain and balances calls within it", func() {
@@ -84,9 +84,9 @@
 
 	It("never selects excluded endpoints", func() {
 		exclude := map[string]bool{"a1": true, "b1": true, "b2": true}
-		Expect(b.Pick(all, balance.Need{Exclude: exclude}).Endpoint.ID).To(Equal("a2"))
+		Expect(b.Pick(all, balance.CallSpec{Exclude: exclude}).Endpoint.ID).To(Equal("a2"))
 		exclude["a2"] = true
-		Expect(b.Pick(all, balance.Need{Exclude: exclude})).To(BeNil())
+		Expect(b.Pick(all, balance.CallSpec{Exclude: exclude})).To(BeNil())
 	})
 
 	DescribeTable("temporarily ejects an endpoint that",
--- a/pkg/balance/balancer.go
+++ b/pkg/balance/balancer.go
@@ -47,7 +47,7 @@
 }
 
 // CallSpec describes a call for endpoint selection.
-type Need struct {
+type CallSpec struct {
 	// Domain is the preferred failure domain; empty for any.
 	Domain string
 	// DomainCost is an additional cost of calls to other failure domains, such as the transfer of
@@ -66,12 +66,12 @@
 	Prefer string
 	// IsolationKey, if not empty, selects an endpoint with few calls in flight by a hash of the
 	// key. It is set for requests that may crash their endpoint.
-	Apart string
+	IsolationKey string
 }
 
-func (n Need) tokens() int {
+func (s CallSpec) tokens() int {
 	total := 0
-	for _, p := range n.Parts {
+	for _, p := range s.Parts {
 		total += p.Tokens
 	}
 	return total
@@ -142,47 +142,47 @@
 
 // Pick selects an endpoint and registers the call with it. It returns nil if all candidates are
 // excluded or backing off. Ejected endpoints are used only as a last resort.
-func (b *Balancer) Pick(candidates []fleet.Endpoint, need Need) *Call {
+func (b *Balancer) Pick(candidates []fleet.Endpoint, spec CallSpec) *Call {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
-	candidates = b.usable(now, candidates, need)
-	if e := b.isolated(now, candidates, need); e != nil {
-		return b.begin(now, *e, need)
+	candidates = b.usable(now, candidates, spec)
+	if e := b.isolated(now, candidates, spec); e != nil {
+		return b.begin(now, *e, spec)
 	}
-	if call := b.pickPreferred(now, candidates, need); call != nil {
+	if call := b.pickPreferred(now, candidates, spec); call != nil {
 		return call
 	}
-	best, _ := b.best(now, candidates, need)
+	best, _ := b.best(now, candidates, spec)
 	if best == nil {
 		return nil
 	}
-	return b.begin(now, *best, need)
+	return b.begin(now, *best, spec)
 }
 
 // best returns the candidate with the lowest cost, or nil.
-func (b *Balancer) best(now time.Time, candidates []fleet.Endpoint, need Need) (*fleet.Endpoint, float64) {
+func (b *Balancer) best(now time.Time, candidates []fleet.Endpoint, spec CallSpec) (*fleet.Endpoint, float64) {
 	var best *fleet.Endpoint
 	bestCost := math.MaxFloat64
-	affinity := b.affinityTarget(now, candidates, need)
+	affinity := b.affinityTarget(now, candidates, spec)
 	averages := b.averages(now, candidates)
 	for i := range candidates {
 		e := &candidates[i]
-		if need.Exclude[e.ID] {
+		if spec.Exclude[e.ID] {
 			continue
 		}
-		if cost := b.cost(now, e, need, averages, e.ID == affinity); cost < bestCost {
+		if cost := b.cost(now, e, spec, averages, e.ID == affinity); cost < bestCost {
 			best, bestCost = e, cost
 		}
 	}
 	return best, bestCost
 }
 
-func (b *Balancer) begin(now time.Time, e fleet.Endpoint, need Need) *Call {
+func (b *Balancer) begin(now time.Time, e fleet.Endpoint, spec CallSpec) *Call {
 	s := b.state(e.ID)
-	c := &Call{Endpoint: e, LeftOut: now.Before(s.ejectedUntil), balancer: b, startedAt: now, parts: need.Parts}
-	if need.Engine {
-		c.uncached = need.tokens() - s.cache.cachedTokens(need.Parts)
+	c := &Call{Endpoint: e, LeftOut: now.Before(s.ejectedUntil), balancer: b, startedAt: now, parts: spec.Parts}
+	if spec.Engine {
+		c.uncached = spec.tokens() - s.cache.cachedTokens(spec.Parts)
 		c.expected = prefillTime(c.uncached+s.pendingPrefill, s.slowness)
 		s.pendingPrefill += c.uncached
 	}
@@ -222,17 +222,17 @@
 const ejectedCost = 1e9
 
 // cost is the expected latency of the call at an endpoint in milliseconds, including penalties.
-func (b *Balancer) cost(now time.Time, e *fleet.Endpoint, need Need, averages averages, affinity bool) float64 {
+func (b *Balancer) cost(now time.Time, e *fleet.Endpoint, spec CallSpec, averages averages, affinity bool) float64 {
 	s := b.peek(e.ID)
 	var d time.Duration
 	latency, slowness := s.at(now, averages)
-	if need.Engine {
-		d = s.engineCost(need, slowness*s.reportedSlowness(now), affinity)
+	if spec.Engine {
+		d = s.engineCost(spec, slowness*s.reportedSlowness(now), affinity)
 	} else {
-		d = s.simpleCost(now, latency, max(need.Slots, e.Slots, 1))
+		d = s.simpleCost(now, latency, max(spec.Slots, e.Slots, 1))
 	}
-	if need.Domain != "" && e.FailureDomain != need.Domain {
-		d += crossDomainCost + need.DomainCost
+	if spec.Domain != "" && e.FailureDomain != spec.Domain {
+		d += crossDomainCost + spec.DomainCost
 	}
 	if s.overdue(now) || now.Before(b.silentUntil[e.FailureDomain]) {
 		d += suspectCost
@@ -256,12 +256,12 @@
 // engineCost is the expected time to the first event at an engine. Uncached shared parts are
 // weighted by sharedPrefillFactor unless the engine is their affinity target, because other
 // engines already hold them.
-func (s *endpointState) engineCost(need Need, slowness float64, affinity bool) time.Duration {
-	cached := s.cache.cachedTokens(need.Parts)
-	uncached := need.tokens() - cached
+func (s *endpointState) engineCost(spec CallSpec, slowness float64, affinity bool) time.Duration {
+	cached := s.cache.cachedTokens(spec.Parts)
+	uncached := spec.tokens() - cached
 	shared := 0
-	if !affinity && len(need.Parts) > 1 {
-		shared = max(0, need.tokens()-need.Parts[len(need.Parts)-1].Tokens-cached)
+	if !affinity && len(spec.Parts) > 1 {
+		shared = max(0, spec.tokens()-spec.Parts[len(spec.Parts)-1].Tokens-cached)
 	}
 	return prefillTime(s.pendingPrefill+uncached+sharedPrefillFactor*shared, slowness) + time.Duration(len(s.calls))*batchCost
 }
@@ -287,11 +287,11 @@
 // affinityTarget returns the endpoint that rendezvous hashing assigns to the shared parts of the
 // prompt, so that all instances send requests with a common prefix to the same engine. It returns
 // an empty string if there is none. The last part is never shared.
-func (b *Balancer) affinityTarget(now time.Time, candidates []fleet.Endpoint, need Need) string {
-	if !need.Engine || len(need.Parts) < 2 {
+func (b *Balancer) affinityTarget(now time.Time, candidates []fleet.Endpoint, spec CallSpec) string {
+	if !spec.Engine || len(spec.Parts) < 2 {
 		return ""
 	}
-	text := append(make([]byte, 0, hashBufferSize), need.Parts[len(need.Parts)-2].ID+"/"...)
+	text := append(make([]byte, 0, hashBufferSize), spec.Parts[len(spec.Parts)-2].ID+"/"...)
 	target, highest := "", uint64(0)
 	for i := range candidates {
 		id := candidates[i].ID
@@ -311,19 +311,19 @@
 
 // Estimate returns the expected time to the first event of a later call, and the failure domain of
 // the endpoint that would serve it.
-func (b *Balancer) Expect(candidates []fleet.Endpoint, need Need) (time.Duration, string) {
+func (b *Balancer) Expect(candidates []fleet.Endpoint, spec CallSpec) (time.Duration, string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
-	best, _ := b.best(now, b.usable(now, candidates, need), need)
+	best, _ := b.best(now, b.usable(now, candidates, spec), spec)
 	if best == nil {
-		return 0, need.Domain
+		return 0, spec.Domain
 	}
 	s := b.peek(best.ID)
-	if !need.Engine {
+	if !spec.Engine {
 		return s.latency, best.FailureDomain
 	}
-	return cachedFirstEvent + prefillTime(need.tokens()-s.cache.cachedTokens(need.Parts), s.slowness), best.FailureDomain
+	return cachedFirstEvent + prefillTime(spec.tokens()-s.cache.cachedTokens(spec.Parts), s.slowness), best.FailureDomain
 }
 
 // cachedFirstEvent is the expected time to the first event for a fully cached prompt.
--- a/pkg/balance/cold.go
+++ b/pkg/balance/cold.go
@@ -80,9 +80,9 @@
 
 // usable filters out endpoints that are backing off. Of the remaining ones it returns the warm
 // endpoints or, if there are none, the cold ones that this instance may call now.
-func (b *Balancer) usable(now time.Time, candidates []fleet.Endpoint, need Need) []fleet.Endpoint {
+func (b *Balancer) usable(now time.Time, candidates []fleet.Endpoint, spec CallSpec) []fleet.Endpoint {
 	candidates = b.backoffs.Awake(candidates)
-	if need.Cold.PerSecond <= 0 || !b.updateCold(now, candidates) {
+	if spec.Cold.PerSecond <= 0 || !b.updateCold(now, candidates) {
 		return candidates
 	}
 	remaining := false
@@ -90,13 +90,13 @@
 	for _, e := range candidates {
 		if !b.peek(e.ID).cold.cold(now) {
 			warm = append(warm, e)
-			remaining = remaining || !need.Exclude[e.ID]
+			remaining = remaining || !spec.Exclude[e.ID]
 		}
 	}
 	if remaining {
 		return warm
 	}
-	return b.targets(now, candidates, need)
+	return b.targets(now, candidates, spec)
 }
 
 // updateCold applies the endpoint entries and reports whether any endpoint is cold.
@@ -116,14 +116,14 @@
 }
 
 // warmupTargets returns the cold endpoints that this instance may call now as their warm-up owner.
-func (b *Balancer) targets(now time.Time, candidates []fleet.Endpoint, need Need) []fleet.Endpoint {
-	if need.Cold.Sponsors == nil {
+func (b *Balancer) targets(now time.Time, candidates []fleet.Endpoint, spec CallSpec) []fleet.Endpoint {
+	if spec.Cold.Sponsors == nil {
 		return nil
 	}
 	var targets []fleet.Endpoint
 	for _, e := range candidates {
 		c := &b.peek(e.ID).cold
-		if c.cold(now) && now.Sub(c.sentAt) >= need.Cold.minInterval() && need.Cold.Sponsors(e.ID) {
+		if c.cold(now) && now.Sub(c.sentAt) >= spec.Cold.minInterval() && spec.Cold.Sponsors(e.ID) {
 			targets = append(targets, e)
 		}
 	}
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -38,8 +38,8 @@
 		}
 	})
 
-	need := func(owner bool) balance.Need {
-		return balance.Need{
+	need := func(owner bool) balance.CallSpec {
+		return balance.CallSpec{
 			Engine: true,
 			Parts:  []balance.Part{{ID: "system", Tokens: 100}, {ID: "subject", Tokens: 4000}, {ID: "own", Tokens: 10}},
 			Cold:   balance.Cold{PerSecond: coldPerSecond, Sponsors: func(string) bool { return owner }},
@@ -47,7 +47,7 @@
 	}
 
 	// picks makes n calls at 5 ms intervals and counts them per endpoint.
-	picks := func(n int, need balance.Need) map[string]int {
+	picks := func(n int, need balance.CallSpec) map[string]int {
 		chosen := map[string]int{}
 		for range n {
 			if c := b.Pick(all, need); c != nil {
@@ -88,7 +88,7 @@
 		preferring.Prefer = home
 		Expect(b.Pick(all, preferring).Endpoint.ID).NotTo(Equal(home))
 		clock.Advance(100 * time.Millisecond)
-		Expect(picks(200, balance.Need{Cold: need(true).Cold})).To(HaveKey(home))
+		Expect(picks(200, balance.CallSpec{Cold: need(true).Cold})).To(HaveKey(home))
 	})
 
 	It("follow changes of their entries", func() {
@@ -101,21 +101,21 @@
 
 	It("become cold when an entry with a new revision repeats the same duration", func() {
 		setCold(time.Second, 0)
-		Expect(picks(10, balance.Need{Cold: need(false).Cold})).NotTo(HaveKey("e0"))
+		Expect(picks(10, balance.CallSpec{Cold: need(false).Cold})).NotTo(HaveKey("e0"))
 		clock.Advance(2 * time.Second)
-		Expect(picks(100, balance.Need{Cold: need(false).Cold})).To(HaveKey("e0"))
+		Expect(picks(100, balance.CallSpec{Cold: need(false).Cold})).To(HaveKey("e0"))
 		setCold(time.Second, 0)
-		Expect(picks(100, balance.Need{Cold: need(false).Cold})).NotTo(HaveKey("e0"))
+		Expect(picks(100, balance.CallSpec{Cold: need(false).Cold})).NotTo(HaveKey("e0"))
 	})
 
 	It("include those of a returned failure domain before their entries report it", func() {
 		for n := range 3 {
 			all[n].Returned = 9
 		}
-		chosen := picks(400, balance.Need{Cold: need(true).Cold})
+		chosen := picks(400, balance.CallSpec{Cold: need(true).Cold})
 		Expect(chosen).NotTo(Or(HaveKey("e0"), HaveKey("e1"), HaveKey("e2")))
 		clock.Advance(time.Second)
-		Expect(picks(200, balance.Need{Cold: need(true).Cold})).To(HaveLen(6))
+		Expect(picks(200, balance.CallSpec{Cold: need(true).Cold})).To(HaveLen(6))
 	})
 
 	It("receive no calls from instances other than their warm-up owner", func() {
@@ -132,7 +132,7 @@
 
 	It("are treated as warm without a configured limit", func() {
 		setCold(time.Minute, 0, 1, 2, 3, 4, 5)
-		Expect(picks(100, balance.Need{})).NotTo(BeEmpty())
+		Expect(picks(100, balance.CallSpec{})).NotTo(BeEmpty())
 	})
 
 	It("never exceed their rate limit during restarts and partitions", func() {
@@ -172,7 +172,7 @@
 	}
 	arrivals := map[string][]time.Time{}
 	send := func(n int) {
-		c := balancers[n].Pick(endpoints, balance.Need{Cold: balance.Cold{PerSecond: coldPerSecond, Sponsors: owner(n)}})
+		c := balancers[n].Pick(endpoints, balance.CallSpec{Cold: balance.Cold{PerSecond: coldPerSecond, Sponsors: owner(n)}})
 		if c == nil {
 			return
 		}
--- a/pkg/balance/isolated.go
+++ b/pkg/balance/isolated.go
@@ -13,8 +13,8 @@
 // together with it, and breaks ties by rendezvous hashing of the key. Two suspect calls that
 // failed on the same endpoint are thus separated, which shows which of them caused the crash; the
 // usual selection would send both to the same endpoint again.
-func (b *Balancer) isolated(now time.Time, candidates []fleet.Endpoint, need Need) *fleet.Endpoint {
-	if need.Apart == "" {
+func (b *Balancer) isolated(now time.Time, candidates []fleet.Endpoint, spec CallSpec) *fleet.Endpoint {
+	if spec.IsolationKey == "" {
 		return nil
 	}
 	var best *fleet.Endpoint
@@ -23,10 +23,10 @@
 	for i := range candidates {
 		e := &candidates[i]
 		s := b.peek(e.ID)
-		if need.Exclude[e.ID] || now.Before(s.ejectedUntil) {
+		if spec.Exclude[e.ID] || now.Before(s.ejectedUntil) {
 			continue
 		}
-		weight := xxhash.Sum64String(need.Apart + "/" + e.ID)
+		weight := xxhash.Sum64String(spec.IsolationKey + "/" + e.ID)
 		if best == nil || len(s.calls) < fewest || len(s.calls) == fewest && weight > highest {
 			best, fewest, highest = e, len(s.calls), weight
 		}
--- a/pkg/balance/isolated_test.go
+++ b/pkg/balance/isolated_test.go
@@ -26,8 +26,8 @@
 	})
 
 	// suspect returns two otherwise identical specs that differ only in the isolation key.
-	suspect := func(name string) balance.Need {
-		return balance.Need{Engine: true, Parts: []balance.Part{{ID: "shared", Tokens: 5000}, {ID: "own", Tokens: 10}}, Prefer: "e3", Apart: name}
+	suspect := func(name string) balance.CallSpec {
+		return balance.CallSpec{Engine: true, Parts: []balance.Part{{ID: "shared", Tokens: 5000}, {ID: "own", Tokens: 10}}, Prefer: "e3", IsolationKey: name}
 	}
 
 	It("are separated even though the usual selection would pick the same endpoint", func() {
@@ -52,7 +52,7 @@
 
 	It("use the endpoint with the fewest calls in flight", func() {
 		for _, e := range all[1:] {
-			b.Pick([]fleet.Endpoint{e}, balance.Need{})
+			b.Pick([]fleet.Endpoint{e}, balance.CallSpec{})
 		}
 		for n := range 5 {
 			call := b.Pick(all, suspect(fmt.Sprint(n)))
--- a/pkg/balance/options.go
+++ b/pkg/balance/options.go
@@ -19,26 +19,26 @@
 
 // Options returns up to most endpoints in order of cost: the best ones overall and the best of
 // each other failure domain. Ejected endpoints are omitted.
-func (b *Balancer) Options(candidates []fleet.Endpoint, need Need, most int) []Option {
+func (b *Balancer) Options(candidates []fleet.Endpoint, spec CallSpec, most int) []Option {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
-	candidates = b.usable(now, candidates, need)
-	affinity := b.affinityTarget(now, candidates, need)
+	candidates = b.usable(now, candidates, spec)
+	affinity := b.affinityTarget(now, candidates, spec)
 	averages := b.averages(now, candidates)
 	var best topPerDomain
 	for i := range candidates {
 		e := &candidates[i]
-		if need.Exclude[e.ID] || now.Before(b.peek(e.ID).ejectedUntil) {
+		if spec.Exclude[e.ID] || now.Before(b.peek(e.ID).ejectedUntil) {
 			continue
 		}
-		best.add(e, b.cost(now, e, need, averages, e.ID == affinity))
+		best.add(e, b.cost(now, e, spec, averages, e.ID == affinity))
 	}
 	chosen := diversify(best.sorted(), most)
 	options := make([]Option, len(chosen))
 	for i, k := range chosen {
 		s := b.peek(k.endpoint.ID)
-		uncached := need.tokens() - s.cache.cachedTokens(need.Parts)
+		uncached := spec.tokens() - s.cache.cachedTokens(spec.Parts)
 		options[i] = Option{Endpoint: *k.endpoint, Cost: time.Duration(k.cost * float64(time.Millisecond)), Reading: prefillTime(uncached, s.slowness)}
 	}
 	return options
@@ -98,16 +98,16 @@
 
 // pickPreferred registers the call with the preferred endpoint, or returns nil if that is
 // excluded, ejected or has an overdue call.
-func (b *Balancer) pickPreferred(now time.Time, candidates []fleet.Endpoint, need Need) *Call {
+func (b *Balancer) pickPreferred(now time.Time, candidates []fleet.Endpoint, spec CallSpec) *Call {
 	for _, e := range candidates {
-		if e.ID != need.Prefer {
+		if e.ID != spec.Prefer {
 			continue
 		}
 		s := b.peek(e.ID)
-		if need.Exclude[e.ID] || now.Before(s.ejectedUntil) || s.overdue(now) {
+		if spec.Exclude[e.ID] || now.Before(s.ejectedUntil) || s.overdue(now) {
 			return nil
 		}
-		return b.begin(now, e, need)
+		return b.begin(now, e, spec)
 	}
 	return nil
 }
--- a/pkg/balance/slowness_test.go
+++ b/pkg/balance/slowness_test.go
@@ -23,7 +23,7 @@
 		b = balance.New(clock, noBackoffs(clock))
 		all = []fleet.Endpoint{{ID: "slow", Slots: 4}, {ID: "usual", Slots: 4}}
 		tell := func(at int, slowness float64) {
-			c := b.Pick(all[at:at+1], balance.Need{})
+			c := b.Pick(all[at:at+1], balance.CallSpec{})
 			clock.Advance(20 * time.Millisecond)
 			c.Begun()
 			c.Told(&balance.Load{Running: 1, Slots: 4, Slowness: slowness})
@@ -36,7 +36,7 @@
 	picks := func(n int) int {
 		slow := 0
 		for range n {
-			c := b.Pick(all, balance.Need{})
+			c := b.Pick(all, balance.CallSpec{})
 			if c.Endpoint.ID == "slow" {
 				slow++
 			}
@@ -59,7 +59,7 @@
 		all := []fleet.Endpoint{{ID: "slow", Slots: 8}, {ID: "fast", Slots: 8}}
 		times := map[string]time.Duration{"slow": 30 * time.Millisecond, "fast": 2 * time.Millisecond}
 		call := func(candidates []fleet.Endpoint) string {
-			c := b.Pick(candidates, balance.Need{})
+			c := b.Pick(candidates, balance.CallSpec{})
 			clock.Advance(times[c.Endpoint.ID])
 			c.Begun()
 			c.End(balance.Well, nil)
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -146,7 +146,7 @@
 	need := u.need()
 	need.Prefer = u.reader
 	if u.Quarantine.Suspects(u.digest) {
-		need.Apart = u.digest.String()
+		need.IsolationKey = u.digest.String()
 	}
 	if len(u.inputs) > 0 {
 		need.Domain = pipeline.HeaviestDomain(u.inputs)
@@ -159,8 +159,8 @@
 }
 
 // need is what the request needs of its endpoint.
-func (u *run) need() balance.Need {
-	return balance.Need{
+func (u *run) need() balance.CallSpec {
+	return balance.CallSpec{
 		Domain:  u.Domain,
 		Exclude: u.tried,
 		Engine:  u.service.Engine != nil,
--- a/pkg/gateway/trial.go
+++ b/pkg/gateway/trial.go
@@ -12,7 +12,7 @@
 // pickOnTrial chooses an endpoint of a version that is tried, if the request is of the share that it gets; nil if it is not,
 // or there is none. Only first attempts are of the share: what a bad version failed is not tried on it again, and
 // each arrival there counts.
-func (u *run) pickOnTrial(need balance.Need) *balance.Call {
+func (u *run) pickOnTrial(need balance.CallSpec) *balance.Call {
 	trial := u.View().Fleet.Trial(u.service.Name)
 	if u.attempts > 0 || !trial.Takes(u.request.ID) {
 		return nil
