--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -311,7 +311,7 @@
 	for _, member := range g.group.Live() {
 		others = append(others, member.Name)
 	}
-	return balance.Sponsors(g.settings.Instance, others, endpoint)
+	return balance.IsWarmupOwner(g.settings.Instance, others, endpoint)
 }
 
 func (g *Gateway) limits() (route.Limits, bool) {
--- a/pkg/balance/balancer.go
+++ b/pkg/balance/balancer.go
@@ -61,7 +61,7 @@
 	// Slots is the number of calls that an endpoint runs concurrently.
 	Slots int
 	// Cold limits the requests to endpoints that are warming up.
-	Cold Cold
+	Cold ColdLimit
 	// Prefer is the ID of an endpoint to use while it is healthy; empty for none.
 	Prefer string
 	// IsolationKey, if not empty, selects an endpoint with few calls in flight by a hash of the
--- a/pkg/balance/cold.go
+++ b/pkg/balance/cold.go
@@ -26,22 +26,22 @@
 )
 
 // ColdLimit limits the requests to the cold endpoints of a service.
-type Cold struct {
+type ColdLimit struct {
 	// PerSecond is the request rate that a cold endpoint can serve in total; 0 for no limit.
 	PerSecond float64
 	// IsOwner reports whether this instance is the warm-up owner of an endpoint; nil if it owns
 	// none.
-	Sponsors func(endpoint string) bool
+	IsOwner func(endpoint string) bool
 }
 
 // minInterval is the minimum time between two requests of a warm-up owner.
-func (c Cold) minInterval() time.Duration {
+func (c ColdLimit) minInterval() time.Duration {
 	return time.Duration(float64(time.Second) / (warmupShare * c.PerSecond))
 }
 
 // IsWarmupOwner reports whether an instance ranks first among the live instances for an endpoint
 // by rendezvous hashing.
-func Sponsors(instance string, others []string, endpoint string) bool {
+func IsWarmupOwner(instance string, others []string, endpoint string) bool {
 	weight := func(name string) uint64 { return xxhash.Sum64String("sponsor/" + endpoint + "/" + name) }
 	own := weight(instance)
 	return !slices.ContainsFunc(others, func(other string) bool { return weight(other) > own })
@@ -117,13 +117,13 @@
 
 // warmupTargets returns the cold endpoints that this instance may call now as their warm-up owner.
 func (b *Balancer) targets(now time.Time, candidates []fleet.Endpoint, spec CallSpec) []fleet.Endpoint {
-	if spec.Cold.Sponsors == nil {
+	if spec.Cold.IsOwner == nil {
 		return nil
 	}
 	var targets []fleet.Endpoint
 	for _, e := range candidates {
 		c := &b.peek(e.ID).cold
-		if c.cold(now) && now.Sub(c.sentAt) >= spec.Cold.minInterval() && spec.Cold.Sponsors(e.ID) {
+		if c.cold(now) && now.Sub(c.sentAt) >= spec.Cold.minInterval() && spec.Cold.IsOwner(e.ID) {
 			targets = append(targets, e)
 		}
 	}
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -42,7 +42,7 @@
 		return balance.CallSpec{
 			Engine: true,
 			Parts:  []balance.Part{{ID: "system", Tokens: 100}, {ID: "subject", Tokens: 4000}, {ID: "own", Tokens: 10}},
-			Cold:   balance.Cold{PerSecond: coldPerSecond, Sponsors: func(string) bool { return owner }},
+			Cold:   balance.ColdLimit{PerSecond: coldPerSecond, IsOwner: func(string) bool { return owner }},
 		}
 	}
 
@@ -167,12 +167,12 @@
 					others = append(others, name(other))
 				}
 			}
-			return balance.Sponsors(name(n), others, endpoint)
+			return balance.IsWarmupOwner(name(n), others, endpoint)
 		}
 	}
 	arrivals := map[string][]time.Time{}
 	send := func(n int) {
-		c := balancers[n].Pick(endpoints, balance.CallSpec{Cold: balance.Cold{PerSecond: coldPerSecond, Sponsors: owner(n)}})
+		c := balancers[n].Pick(endpoints, balance.CallSpec{Cold: balance.ColdLimit{PerSecond: coldPerSecond, IsOwner: owner(n)}})
 		if c == nil {
 			return
 		}
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -165,7 +165,7 @@
 		Exclude: u.tried,
 		Engine:  u.service.Engine != nil,
 		Parts:   u.request.Parts,
-		Cold:    balance.Cold{PerSecond: u.service.ColdPerSecond, Sponsors: u.Sponsors},
+		Cold:    balance.ColdLimit{PerSecond: u.service.ColdPerSecond, IsOwner: u.Sponsors},
 	}
 }
 
