--- a/pkg/balance/backoff_test.go
+++ b/pkg/balance/backoff_test.go
@@ -50,7 +50,7 @@
 			b.Pick(all, balance.CallSpec{}).End(balance.Unreachable, nil)
 		}
 		call := b.Pick(all, balance.CallSpec{})
-		Expect(call.LeftOut).To(BeTrue())
+		Expect(call.Ejected).To(BeTrue())
 		Expect(call.Endpoint.ID).To(Equal("b"))
 		call.End(balance.Canceled, nil)
 		Expect(b.Rest(all)).To(BeZero())
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -50,7 +50,7 @@
 			c := b.Pick(all, need)
 			chosen[c.Endpoint.ID]++
 			clock.Advance(2 * time.Millisecond)
-			c.Begun()
+			c.ResponseStarted()
 			c.End(balance.Well, nil)
 		}
 		return chosen
@@ -109,7 +109,7 @@
 		c.End(balance.Unreachable, nil)
 		Expect(b.Pick(all, need).Endpoint.FailureDomain).To(Equal("b"))
 		c = b.Pick(all[1:2], need)
-		c.Begun()
+		c.ResponseStarted()
 		c.End(balance.Well, nil)
 		Expect(b.Pick(all, need).Endpoint.ID).To(Equal("a2"))
 		b.Pick(all[:1], need).End(balance.Unreachable, nil)
@@ -133,7 +133,7 @@
 		other := balance.New(clock, noBackoffs(clock))
 		for _, subject := range []string{"s1", "s2", "s3", "s4", "s5"} {
 			c := b.Pick(all, prompt(subject, "own"))
-			c.Begun()
+			c.ResponseStarted()
 			c.End(balance.Well, nil)
 			Expect(b.Pick(all, prompt(subject, "other")).Endpoint.ID).To(Equal(c.Endpoint.ID))
 			Expect(other.Pick(all, prompt(subject, "third")).Endpoint.ID).To(Equal(c.Endpoint.ID))
@@ -157,7 +157,7 @@
 		cold, domain := b.Expect(all, prompt("s", "own"))
 		c := b.Pick(all, prompt("s", "own"))
 		Expect(c.Endpoint.FailureDomain).To(Equal(domain))
-		c.Begun()
+		c.ResponseStarted()
 		c.End(balance.Well, nil)
 		warm, again := b.Expect(all, prompt("s", "other"))
 		Expect(again).To(Equal(domain))
@@ -170,7 +170,7 @@
 			preferring.Prefer = e.ID
 			c := b.Pick(all, preferring)
 			Expect(c.Endpoint.ID).To(Equal(e.ID))
-			c.Begun()
+			c.ResponseStarted()
 			c.End(balance.Well, nil)
 		}
 		preferring.Prefer = "a2"
--- a/pkg/balance/balancer.go
+++ b/pkg/balance/balancer.go
@@ -130,14 +130,14 @@
 	Endpoint fleet.Endpoint
 	// Ejected reports whether the endpoint was ejected when selected, because no other was
 	// available.
-	LeftOut         bool
-	balancer        *Balancer
-	startedAt       time.Time
-	uncached        int
-	parts           []Part
-	expected        time.Duration
-	responseStarted bool
-	ended           bool
+	Ejected   bool
+	balancer  *Balancer
+	startedAt time.Time
+	uncached  int
+	parts     []Part
+	expected  time.Duration
+	started   bool
+	ended     bool
 }
 
 // Pick selects an endpoint and registers the call with it. It returns nil if all candidates are
@@ -180,7 +180,7 @@
 
 func (b *Balancer) begin(now time.Time, e fleet.Endpoint, spec CallSpec) *Call {
 	s := b.state(e.ID)
-	c := &Call{Endpoint: e, LeftOut: now.Before(s.ejectedUntil), balancer: b, startedAt: now, parts: spec.Parts}
+	c := &Call{Endpoint: e, Ejected: now.Before(s.ejectedUntil), balancer: b, startedAt: now, parts: spec.Parts}
 	if spec.Engine {
 		c.uncached = spec.tokens() - s.cache.cachedTokens(spec.Parts)
 		c.expected = prefillTime(c.uncached+s.pendingPrefill, s.slowness)
@@ -277,7 +277,7 @@
 func (s *endpointState) overdue(now time.Time) bool {
 	for c := range s.calls {
 		expected := max(s.latency, c.expected)
-		if !c.responseStarted && now.Sub(c.startedAt) > overdueFactor*expected+overdueSlack {
+		if !c.started && now.Sub(c.startedAt) > overdueFactor*expected+overdueSlack {
 			return true
 		}
 	}
@@ -330,14 +330,14 @@
 const cachedFirstEvent = 60 * time.Millisecond
 
 // ResponseStarted records the first event of a stream, or the response header of other calls.
-func (c *Call) Begun() {
+func (c *Call) ResponseStarted() {
 	b := c.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if c.responseStarted || c.ended {
+	if c.started || c.ended {
 		return
 	}
-	c.responseStarted = true
+	c.started = true
 	delete(b.silentUntil, c.Endpoint.FailureDomain)
 	s := b.state(c.Endpoint.ID)
 	now := b.clock.Now()
@@ -393,7 +393,7 @@
 	c.ended = true
 	s := b.state(c.Endpoint.ID)
 	delete(s.calls, c)
-	if !c.responseStarted {
+	if !c.started {
 		s.pendingPrefill -= c.uncached
 	}
 	now := b.clock.Now()
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -52,7 +52,7 @@
 		for range n {
 			if c := b.Pick(all, need); c != nil {
 				chosen[c.Endpoint.ID]++
-				c.Begun()
+				c.ResponseStarted()
 				c.End(balance.Well, nil)
 			}
 			clock.Advance(5 * time.Millisecond)
@@ -75,7 +75,7 @@
 
 	It("receive no calls while others are warm, and are used once warm", func() {
 		first := b.Pick(all, need(true))
-		first.Begun()
+		first.ResponseStarted()
 		first.End(balance.Well, nil)
 		home := first.Endpoint.ID
 		cold := slices.IndexFunc(all, func(e fleet.Endpoint) bool { return e.ID == home })
--- a/pkg/balance/load.go
+++ b/pkg/balance/load.go
@@ -33,7 +33,7 @@
 
 // RecordLoad records the load in a response header, which may precede the end of the response by
 // seconds. The load may be nil.
-func (c *Call) Told(load *Load) {
+func (c *Call) RecordLoad(load *Load) {
 	if load == nil {
 		return
 	}
--- a/pkg/balance/slowness_test.go
+++ b/pkg/balance/slowness_test.go
@@ -25,8 +25,8 @@
 		tell := func(at int, slowness float64) {
 			c := b.Pick(all[at:at+1], balance.CallSpec{})
 			clock.Advance(20 * time.Millisecond)
-			c.Begun()
-			c.Told(&balance.Load{Running: 1, Slots: 4, Slowness: slowness})
+			c.ResponseStarted()
+			c.RecordLoad(&balance.Load{Running: 1, Slots: 4, Slowness: slowness})
 			c.End(balance.Well, nil)
 		}
 		tell(1, 1)
@@ -61,7 +61,7 @@
 		call := func(candidates []fleet.Endpoint) string {
 			c := b.Pick(candidates, balance.CallSpec{})
 			clock.Advance(times[c.Endpoint.ID])
-			c.Begun()
+			c.ResponseStarted()
 			c.End(balance.Well, nil)
 			return c.Endpoint.ID
 		}
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -269,7 +269,7 @@
 		"event": "attempt", "id": u.request.ID, "endpoint": call.Endpoint.ID, "address": call.Endpoint.Address, "status": status,
 		"ms": u.Clock.Since(begin).Milliseconds(), "next": int(outcome), "events": u.events, "domain": call.Endpoint.FailureDomain,
 	}
-	if call.LeftOut {
+	if call.Ejected {
 		fields["left_out"] = true
 	}
 	if err != nil {
@@ -297,7 +297,7 @@
 		call.End(balance.Bad, verdict.Load)
 		return again
 	case answer.Status < http.StatusMultipleChoices && u.route.Kind == route.Stream:
-		call.Told(verdict.Load)
+		call.RecordLoad(verdict.Load)
 		return u.relayStream(ctx, call, answer)
 	}
 	return u.relayWhole(ctx, call, answer, verdict)
@@ -320,7 +320,7 @@
 		return choose(err != nil, brokenUnless(ctx), again)
 	}
 	u.survived()
-	call.Begun()
+	call.ResponseStarted()
 	call.End(choose(answer.Status < http.StatusInternalServerError, balance.Well, balance.Bad), verdict.Load)
 	if u.begun {
 		// A stream that was begun can't become a failure now.
