--- a/pkg/balance/backoff_test.go
+++ b/pkg/balance/backoff_test.go
@@ -32,7 +32,7 @@
 			for range 20 {
 				call := b.Pick(all, need)
 				Expect(call.Endpoint.ID).To(Equal("b"))
-				call.End(balance.Well, nil)
+				call.End(balance.Succeeded, nil)
 			}
 			Expect(b.Options(all, need, 2)).To(HaveLen(1))
 			clock.Advance(time.Second)
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -51,7 +51,7 @@
 			chosen[c.Endpoint.ID]++
 			clock.Advance(2 * time.Millisecond)
 			c.ResponseStarted()
-			c.End(balance.Well, nil)
+			c.End(balance.Succeeded, nil)
 		}
 		return chosen
 	}
@@ -76,7 +76,7 @@
 
 	It("takes recently reported load into account", func() {
 		c := b.Pick(all[:1], need)
-		c.End(balance.Well, &balance.Load{Running: 4, Waiting: 40, Slots: 4})
+		c.End(balance.Succeeded, &balance.Load{Running: 4, Waiting: 40, Slots: 4})
 		Expect(picks(10, need)["a1"]).To(BeZero())
 		clock.Advance(time.Second)
 		Expect(picks(40, need)["a1"]).To(BeNumerically(">", 0))
@@ -99,7 +99,7 @@
 			Expect(picks(40, need)["a1"]).To(BeNumerically(">", 0))
 		},
 		Entry("was unreachable", balance.Unreachable),
-		Entry("failed twice", balance.Bad, balance.Bad),
+		Entry("failed twice", balance.Failed, balance.Failed),
 		Entry("refused a call", balance.Refused),
 	)
 
@@ -110,7 +110,7 @@
 		Expect(b.Pick(all, need).Endpoint.FailureDomain).To(Equal("b"))
 		c = b.Pick(all[1:2], need)
 		c.ResponseStarted()
-		c.End(balance.Well, nil)
+		c.End(balance.Succeeded, nil)
 		Expect(b.Pick(all, need).Endpoint.ID).To(Equal("a2"))
 		b.Pick(all[:1], need).End(balance.Unreachable, nil)
 		Expect(b.Pick(all, need).Endpoint.ID).To(Equal("a2"), "a refused connection says nothing about the failure domain")
@@ -134,7 +134,7 @@
 		for _, subject := range []string{"s1", "s2", "s3", "s4", "s5"} {
 			c := b.Pick(all, prompt(subject, "own"))
 			c.ResponseStarted()
-			c.End(balance.Well, nil)
+			c.End(balance.Succeeded, nil)
 			Expect(b.Pick(all, prompt(subject, "other")).Endpoint.ID).To(Equal(c.Endpoint.ID))
 			Expect(other.Pick(all, prompt(subject, "third")).Endpoint.ID).To(Equal(c.Endpoint.ID))
 		}
@@ -158,7 +158,7 @@
 		c := b.Pick(all, prompt("s", "own"))
 		Expect(c.Endpoint.FailureDomain).To(Equal(domain))
 		c.ResponseStarted()
-		c.End(balance.Well, nil)
+		c.End(balance.Succeeded, nil)
 		warm, again := b.Expect(all, prompt("s", "other"))
 		Expect(again).To(Equal(domain))
 		Expect(warm).To(BeNumerically("<", cold))
@@ -171,7 +171,7 @@
 			c := b.Pick(all, preferring)
 			Expect(c.Endpoint.ID).To(Equal(e.ID))
 			c.ResponseStarted()
-			c.End(balance.Well, nil)
+			c.End(balance.Succeeded, nil)
 		}
 		preferring.Prefer = "a2"
 		preferring.Exclude = map[string]bool{"a2": true}
--- a/pkg/balance/balancer.go
+++ b/pkg/balance/balancer.go
@@ -371,13 +371,13 @@
 // Call outcomes.
 const (
 	// Succeeded: the endpoint completed the call.
-	Well Outcome = iota
+	Succeeded Outcome = iota
 	// Refused: the endpoint rejected the call.
 	Refused
 	// Unreachable: the connection failed.
 	Unreachable
 	// Failed: the response was an error, incomplete or missing.
-	Bad
+	Failed
 	// Canceled: the call ended for reasons unrelated to the endpoint.
 	Canceled
 )
@@ -408,11 +408,11 @@
 
 func (s *endpointState) recordOutcome(now time.Time, outcome Outcome) {
 	switch outcome {
-	case Well:
+	case Succeeded:
 		s.failures, s.ejection = 0, 0
 	case Unreachable:
 		s.eject(now)
-	case Bad:
+	case Failed:
 		if s.failures++; s.failures >= failuresToEject {
 			s.eject(now)
 		}
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -53,7 +53,7 @@
 			if c := b.Pick(all, need); c != nil {
 				chosen[c.Endpoint.ID]++
 				c.ResponseStarted()
-				c.End(balance.Well, nil)
+				c.End(balance.Succeeded, nil)
 			}
 			clock.Advance(5 * time.Millisecond)
 		}
@@ -76,7 +76,7 @@
 	It("receive no calls while others are warm, and are used once warm", func() {
 		first := b.Pick(all, need(true))
 		first.ResponseStarted()
-		first.End(balance.Well, nil)
+		first.End(balance.Succeeded, nil)
 		home := first.Endpoint.ID
 		cold := slices.IndexFunc(all, func(e fleet.Endpoint) bool { return e.ID == home })
 		setCold(2*time.Second, cold)
@@ -177,7 +177,7 @@
 			return
 		}
 		id := c.Endpoint.ID
-		c.End(balance.Well, nil)
+		c.End(balance.Succeeded, nil)
 		arrivals[id] = append(arrivals[id], clock.Now())
 	}
 	t.Repeat(map[string]func(*rapid.T){
--- a/pkg/balance/isolated_test.go
+++ b/pkg/balance/isolated_test.go
@@ -37,15 +37,15 @@
 			if one.Endpoint.ID == other.Endpoint.ID {
 				together++
 			}
-			one.End(balance.Well, nil)
-			other.End(balance.Well, nil)
+			one.End(balance.Succeeded, nil)
+			other.End(balance.Succeeded, nil)
 		}
 		Expect(together).To(BeZero(), "the first call is still in flight")
 		chosen := map[string]bool{}
 		for n := range 100 {
 			call := b.Pick(all, suspect(fmt.Sprint(n)))
 			chosen[call.Endpoint.ID] = true
-			call.End(balance.Well, nil)
+			call.End(balance.Succeeded, nil)
 		}
 		Expect(len(chosen)).To(BeNumerically(">", 12))
 	})
@@ -57,7 +57,7 @@
 		for n := range 5 {
 			call := b.Pick(all, suspect(fmt.Sprint(n)))
 			Expect(call.Endpoint.ID).To(Equal("e0"))
-			call.End(balance.Well, nil)
+			call.End(balance.Succeeded, nil)
 		}
 	})
 
--- a/pkg/balance/slowness_test.go
+++ b/pkg/balance/slowness_test.go
@@ -27,7 +27,7 @@
 			clock.Advance(20 * time.Millisecond)
 			c.ResponseStarted()
 			c.RecordLoad(&balance.Load{Running: 1, Slots: 4, Slowness: slowness})
-			c.End(balance.Well, nil)
+			c.End(balance.Succeeded, nil)
 		}
 		tell(1, 1)
 		tell(0, 4)
@@ -62,7 +62,7 @@
 			c := b.Pick(candidates, balance.CallSpec{})
 			clock.Advance(times[c.Endpoint.ID])
 			c.ResponseStarted()
-			c.End(balance.Well, nil)
+			c.End(balance.Succeeded, nil)
 			return c.Endpoint.ID
 		}
 		call(all[:1])
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -247,7 +247,7 @@
 
 func (u *run) sendFailed(ctx context.Context, call *balance.Call, begin time.Time, err error) next {
 	outcome := brokenUnless(ctx)
-	result := balance.Bad
+	result := balance.Failed
 	switch {
 	case httpconn.Barred(err):
 		outcome, result = barred, balance.Canceled
@@ -291,10 +291,10 @@
 		}
 		return elsewhere
 	case !verdict.Sealed:
-		call.End(balance.Bad, nil)
+		call.End(balance.Failed, nil)
 		return again
 	case answer.Status >= http.StatusInternalServerError && u.worthRepeating():
-		call.End(balance.Bad, verdict.Load)
+		call.End(balance.Failed, verdict.Load)
 		return again
 	case answer.Status < http.StatusMultipleChoices && u.route.Kind == route.Stream:
 		call.RecordLoad(verdict.Load)
@@ -316,12 +316,12 @@
 	u.Held.Add(int64(len(body)))
 	defer u.Held.Free(int64(len(body)))
 	if err != nil || len(body) > maxAnswer {
-		call.End(choose(ctx.Err() == nil, balance.Bad, balance.Canceled), nil)
+		call.End(choose(ctx.Err() == nil, balance.Failed, balance.Canceled), nil)
 		return choose(err != nil, brokenUnless(ctx), again)
 	}
 	u.survived()
 	call.ResponseStarted()
-	call.End(choose(answer.Status < http.StatusInternalServerError, balance.Well, balance.Bad), verdict.Load)
+	call.End(choose(answer.Status < http.StatusInternalServerError, balance.Succeeded, balance.Failed), verdict.Load)
 	if u.begun {
 		// A stream that was begun can't become a failure now.
 		return again
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -33,12 +33,12 @@
 			continue
 		}
 		if err == io.EOF && events.clean() && u.begun {
-			call.End(balance.Well, nil)
+			call.End(balance.Succeeded, nil)
 			u.survived()
 			u.logEnd(answer.Status, "answered")
 			return finished
 		}
-		call.End(choose(ctx.Err() == nil, balance.Bad, balance.Canceled), nil)
+		call.End(choose(ctx.Err() == nil, balance.Failed, balance.Canceled), nil)
 		return brokenUnless(ctx)
 	}
 }
