--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -154,12 +154,12 @@
 	})
 
 	It("estimates a shorter time where the shared parts are cached", func() {
-		cold, domain := b.Expect(all, prompt("s", "own"))
+		cold, domain := b.Estimate(all, prompt("s", "own"))
 		c := b.Pick(all, prompt("s", "own"))
 		Expect(c.Endpoint.FailureDomain).To(Equal(domain))
 		c.ResponseStarted()
 		c.End(balance.Succeeded, nil)
-		warm, again := b.Expect(all, prompt("s", "other"))
+		warm, again := b.Estimate(all, prompt("s", "other"))
 		Expect(again).To(Equal(domain))
 		Expect(warm).To(BeNumerically("<", cold))
 	})
--- a/pkg/balance/balancer.go
+++ b/pkg/balance/balancer.go
@@ -311,7 +311,7 @@
 
 // Estimate returns the expected time to the first event of a later call, and the failure domain of
 // the endpoint that would serve it.
-func (b *Balancer) Expect(candidates []fleet.Endpoint, spec CallSpec) (time.Duration, string) {
+func (b *Balancer) Estimate(candidates []fleet.Endpoint, spec CallSpec) (time.Duration, string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
@@ -431,11 +431,13 @@
 }
 
 // Backoff is the time until the first of the endpoints accepts calls again, or 0 if one does now.
-func (b *Balancer) Rest(endpoints []fleet.Endpoint) time.Duration { return b.backoffs.Least(endpoints) }
+func (b *Balancer) Backoff(endpoints []fleet.Endpoint) time.Duration {
+	return b.backoffs.Least(endpoints)
+}
 
 // RetryAfter suggests when a caller should retry if all endpoints are backing off.
-func (b *Balancer) Return(endpoints []fleet.Endpoint, soon time.Duration) time.Duration {
-	return b.backoffs.Return(endpoints, soon)
+func (b *Balancer) RetryAfter(endpoints []fleet.Endpoint, window time.Duration) time.Duration {
+	return b.backoffs.Return(endpoints, window)
 }
 
 // Limited reports whether a shared rate limit currently blocks calls to any of the endpoints.
--- a/pkg/balance/bench_test.go
+++ b/pkg/balance/bench_test.go
@@ -22,7 +22,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				need := balance.CallSpec{Engine: true, Domain: "zone-1", Parts: []balance.Part{{ID: "system", Tokens: 500}, {ID: fmt.Sprint("s", i%300), Tokens: 5000}, {ID: fmt.Sprint(i), Tokens: 1000}}}
-				chooser.Expect(all, need)
+				chooser.Estimate(all, need)
 				chooser.Options(all, need, 6)
 				chooser.Pick(all, need).End(balance.Succeeded, nil)
 			}
--- a/pkg/gateway/executor.go
+++ b/pkg/gateway/executor.go
@@ -242,7 +242,7 @@
 	if len(ready) == 0 {
 		return refuseNoEndpoint(u.comeBack())
 	}
-	if rest := u.Balancer.Rest(ready); rest > 0 && u.outlasts(rest) {
+	if rest := u.Balancer.Backoff(ready); rest > 0 && u.outlasts(rest) {
 		return u.refuseAway()
 	}
 	for i, stage := range u.route.Stages {
--- a/pkg/gateway/resting.go
+++ b/pkg/gateway/resting.go
@@ -23,7 +23,7 @@
 // whether one may be chosen then.
 func (u *run) awaitRest(ctx context.Context) bool {
 	untried := fleet.Except(u.ready(u.service.Name), func(e fleet.Endpoint) bool { return u.tried[e.ID] })
-	rest := u.Balancer.Rest(untried)
+	rest := u.Balancer.Backoff(untried)
 	if rest == 0 || u.outlasts(rest) {
 		return false
 	}
@@ -42,7 +42,7 @@
 // when one has had it, and not before.
 func (u *run) refuseAway() *Refusal {
 	ready := u.ready(u.service.Name)
-	rest := u.Balancer.Return(ready, u.comeBack())
+	rest := u.Balancer.RetryAfter(ready, u.comeBack())
 	switch {
 	case rest == 0:
 		return refuseNoEndpoint(u.comeBack())
--- a/pkg/gateway/stages.go
+++ b/pkg/gateway/stages.go
@@ -71,7 +71,7 @@
 // plan is the work of the route's stages.
 func (u *run) plan() pipeline.Plan {
 	candidates := u.ready(u.service.Name)
-	call, domain := u.Balancer.Expect(candidates, u.need())
+	call, domain := u.Balancer.Estimate(candidates, u.need())
 	plan := pipeline.Plan{
 		Request:  u.request.ID,
 		Stages:   make([]pipeline.Stage, len(u.route.Stages)),
