--- a/pkg/throttle/asking.go
+++ b/pkg/throttle/asking.go
@@ -9,71 +9,72 @@
 )
 
 const (
-	// askTime is how long an answer to an Ask is expected to take, and askTimeout how long it is waited for.
-	askTime    = 50 * time.Millisecond
-	askTimeout = 500 * time.Millisecond
-	// firstAfter and lastAfter bound how long after a refusal an instance asks again.
-	firstAfter = 50 * time.Millisecond
-	lastAfter  = 2 * time.Second
-	// asksPerCall is how many instances ask in a second for each call a second that a limit allows: where many more
-	// might use one, a few of them are drawn.
-	asksPerCall = 2
-	// wantedSeconds bounds what is asked for at once, in seconds of the whole limit.
-	wantedSeconds = 0.25
+	// requestTime is the expected duration of a permit request, and requestTimeout its timeout.
+	requestTime    = 50 * time.Millisecond
+	requestTimeout = 500 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the delay before the next request after a refusal.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
+	// requestsPerPermit bounds the number of instances that request permits per second, relative
+	// to the limit. If more instances compete for an endpoint, a random subset sends requests.
+	requestsPerPermit = 2
+	// maxRequestSeconds bounds a single request, in seconds of the full limit.
+	maxRequestSeconds = 0.25
 )
 
-// drop drops the permits that have run out.
-func (e *endpoint) drop(now time.Time) {
+// dropExpired removes expired permits.
+func (e *endpoint) dropExpired(now time.Time) {
 	e.permits = slices.DeleteFunc(e.permits, func(end time.Time) bool { return !now.Before(end) })
 }
 
-// wanted is how many calls are asked for: twice as many as last time if all of those were used, and as many as were
-// used if some were not.
-func (e *endpoint) wanted(perSecond float64) int {
-	wanted := e.spent
-	if e.spent >= e.last {
-		wanted = 2 * e.last
+// requestSize is the number of permits to request: twice the last grant if it was used up, and
+// otherwise the number that was used.
+func (e *endpoint) size(perSecond float64) int {
+	size := e.used
+	if e.used >= e.granted {
+		size = 2 * e.granted
 	}
-	return max(1, min(wanted, mostWanted(perSecond)))
+	return max(1, min(size, maxRequest(perSecond)))
 }
 
-// ask asks the grantor for calls, unless so many instances might that this one is not drawn.
-func (k *Keeper) ask(now time.Time, life string, e *endpoint, perSecond float64) {
-	if k.draw()*float64(len(k.candidates)) > asksPerCall*max(leastPerSecond, perSecond) {
-		e.nextAsk = now.Add(time.Second)
+// request starts a permit request to the grantor unless this instance is not in the random subset
+// that may send one.
+func (k *Keeper) request(now time.Time, id string, e *endpoint, perSecond float64) {
+	if k.random()*float64(len(k.candidates)) > requestsPerPermit*max(minPerSecond, perSecond) {
+		e.nextRequest = now.Add(time.Second)
 		return
 	}
-	e.asking = true
-	ask := Ask{Life: life, Wanted: e.wanted(perSecond), PerSecond: perSecond, AgeMs: k.table.age(life).Milliseconds()}
-	k.start(func() { k.take(now, e, ask) })
+	e.requesting = true
+	request := Ask{Life: id, Wanted: e.size(perSecond), PerSecond: perSecond, AgeMs: k.table.age(id).Milliseconds()}
+	k.start(func() { k.fetch(now, e, request) })
 }
 
-// take asks the grantor, and takes in what it grants.
-func (k *Keeper) take(asked time.Time, e *endpoint, ask Ask) {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+// fetch requests permits from the grantor and stores those granted.
+func (k *Keeper) fetch(requestedAt time.Time, e *endpoint, request Ask) {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	k.mu.Lock()
 	grantor := e.grantor
 	k.mu.Unlock()
-	grant, err := k.peers.Ask(ctx, grantor, ask)
+	grant, err := k.peers.Ask(ctx, grantor, request)
 	if grant.Lifted {
-		k.table.Hear([]Limit{{Life: ask.Life, Age: time.Duration(grant.AgeMs) * time.Millisecond}})
+		k.table.Hear([]Limit{{Life: request.Life, Age: time.Duration(grant.AgeMs) * time.Millisecond}})
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock.Now()
-	e.asking = false
+	e.requesting = false
 	switch {
 	case err != nil:
-		e.nextAsk = now.Add(lastAfter)
-		k.log.WithFields(logrus.Fields{"event": "permits_not_asked", "endpoint": ask.Life, "instance": grantor.Name}).Info(err)
+		e.nextRequest = now.Add(maxRetryDelay)
+		k.log.WithFields(logrus.Fields{"event": "permits_not_asked", "endpoint": request.Life, "instance": grantor.Name}).Info(err)
 	case grant.Granted == 0:
 		after := time.Duration(grant.AfterMs) * time.Millisecond
-		e.nextAsk = now.Add(max(firstAfter, min(lastAfter, after)))
+		e.nextRequest = now.Add(max(minRetryDelay, min(maxRetryDelay, after)))
 	default:
-		e.last, e.spent = grant.Granted, 0
-		for range min(grant.Granted, ask.Wanted) {
-			e.permits = append(e.permits, asked.Add(permitLife))
+		e.granted, e.used = grant.Granted, 0
+		for range min(grant.Granted, request.Wanted) {
+			e.permits = append(e.permits, requestedAt.Add(permitTTL))
 		}
 	}
 }
--- a/pkg/throttle/bucket.go
+++ b/pkg/throttle/bucket.go
@@ -3,35 +3,38 @@
 import "time"
 
 const (
-	// permitLife is how long a permit may be used from when it was asked for. Permits of an earlier grantor have run
-	// out when a new one begins to grant.
-	permitLife = time.Second
-	// bankSeconds is for how long what is not used adds up, at most; one call may always be banked.
-	bankSeconds = 0.25
-	// leastPerSecond stands for lower limits, none among them: if nothing at all were sent to an endpoint, it could
-	// never say that its limit is over.
-	leastPerSecond = 0.1
+	// permitTTL is how long a permit is valid from the time of its request. A new grantor waits
+	// for this long, so that the permits of its predecessor have expired.
+	permitTTL = time.Second
+	// burstSeconds bounds the unused capacity that accumulates, in seconds of the rate; at least
+	// one call.
+	burstSeconds = 0.25
+	// minPerSecond replaces lower limits, including zero. Without any calls, an endpoint could not
+	// report that its limit is lifted.
+	minPerSecond = 0.1
 )
 
-// bucket says how many calls may begin. In four seconds it lets 4.25 times the rate and one more pass, permits that
-// were granted up to permitLife before them come on top: 5.25 times and one, of the six times and five that the users allow.
+// bucket is a token bucket. In any four seconds it admits at most 4.25 times the rate plus one
+// call; with permits granted up to permitTTL earlier, 5.25 times plus one, which is within the
+// bound of six times plus five.
 type bucket struct {
 	calls float64
-	// at is as of when it holds so many calls. It may be ahead: until then it grants none.
+	// at is when calls was last updated. It may lie in the future; the bucket admits no calls
+	// before.
 	at time.Time
 }
 
-// fill takes in the time that has passed, at a rate in calls a second.
+// fill adds the calls accumulated since the last update at a rate in calls per second.
 func (b *bucket) fill(now time.Time, rate float64) {
 	if !now.After(b.at) {
 		return
 	}
-	bank := max(1, bankSeconds*rate)
-	b.calls = min(bank, b.calls+rate*now.Sub(b.at).Seconds())
+	burst := max(1, burstSeconds*rate)
+	b.calls = min(burst, b.calls+rate*now.Sub(b.at).Seconds())
 	b.at = now
 }
 
-// take takes up to n calls and returns how many.
+// take removes up to n calls and returns their number.
 func (b *bucket) take(now time.Time, rate float64, n int) int {
 	b.fill(now, rate)
 	taken := min(n, int(b.calls))
@@ -39,7 +42,7 @@
 	return taken
 }
 
-// wait is how long it takes until the next call may begin; 0: it may now.
+// wait is the time until the next call is admitted; 0 if it may start now.
 func (b *bucket) wait(now time.Time, rate float64) time.Duration {
 	b.fill(now, rate)
 	if b.calls >= 1 {
--- a/pkg/throttle/export_test.go
+++ b/pkg/throttle/export_test.go
@@ -1,11 +1,13 @@
 package throttle
 
-// Start has asks run by start, and random numbers come from draw.
-func (k *Keeper) Start(start func(func()), draw func() float64) { k.start, k.draw = start, draw }
+// SetHooks replaces how requests are started and the source of random numbers.
+func (k *Keeper) SetHooks(start func(func()), random func() float64) {
+	k.start, k.random = start, random
+}
 
-// What the model needs to know.
+// Constants for the tests.
 const (
-	PermitLife     = permitLife
-	Settling       = settling
-	LeastPerSecond = leastPerSecond
+	PermitTTL    = permitTTL
+	SettleTime   = settleTime
+	MinPerSecond = minPerSecond
 )
--- a/pkg/throttle/granting.go
+++ b/pkg/throttle/granting.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Answer grants calls to another instance, if this one may.
+// HandleRequest answers a permit request of another instance.
 func (k *Keeper) Answer(a Ask) Grant {
 	k.table.Hear([]Limit{{Life: a.Life, Limited: true, PerSecond: a.PerSecond, Age: time.Duration(a.AgeMs) * time.Millisecond}})
 	perSecond, limited := k.table.PerSecond(a.Life)
@@ -21,30 +21,32 @@
 	now := k.clock.Now()
 	e := k.endpoint(now, a.Life)
 	if !e.own {
-		return Grant{AfterMs: askTimeout.Milliseconds()}
+		return Grant{AfterMs: requestTimeout.Milliseconds()}
 	}
 	rate := k.rate(perSecond)
-	if granted := e.bucket.take(now, rate, max(0, min(a.Wanted, mostWanted(perSecond)))); granted > 0 {
+	if granted := e.bucket.take(now, rate, max(0, min(a.Wanted, maxRequest(perSecond)))); granted > 0 {
 		return Grant{Granted: granted}
 	}
-	// Those who ask in vain are told to come one after another.
+	// Assign consecutive retry times to refused callers.
 	next := now.Add(e.bucket.wait(now, rate))
-	if booked := e.booked.Add(time.Duration(float64(time.Second) / rate)); booked.After(next) {
-		next = booked
+	if reserved := e.reservedUntil.Add(time.Duration(float64(time.Second) / rate)); reserved.After(next) {
+		next = reserved
 	}
-	e.booked = earliest(next, now.Add(lastAfter))
-	return Grant{AfterMs: e.booked.Sub(now).Milliseconds() + 1}
+	e.reservedUntil = earlier(next, now.Add(maxRetryDelay))
+	return Grant{AfterMs: e.reservedUntil.Sub(now).Milliseconds() + 1}
 }
 
-// rate is how many calls a second are granted of a limit: the part of it that belongs to the instances in sight.
-func (k *Keeper) rate(perSecond float64) float64 { return max(leastPerSecond, perSecond) * k.part }
+// rate is the part of a limit that this instance grants, in calls per second: the share of the
+// instances that it can see.
+func (k *Keeper) rate(perSecond float64) float64 { return max(minPerSecond, perSecond) * k.share }
 
-// mostWanted bounds what is asked for at once.
-func mostWanted(perSecond float64) int { return max(1, int(math.Ceil(wantedSeconds*perSecond))) }
+// maxRequest bounds the size of a single permit request.
+func maxRequest(perSecond float64) int { return max(1, int(math.Ceil(maxRequestSeconds*perSecond))) }
 
-// chooseGrantor returns the instance that grants the calls to an endpoint: all that see the same others choose the same.
-func chooseGrantor(candidates []Peer, life, domain string) Peer {
-	weight := func(p Peer) uint64 { return xxhash.Sum64String("grantor/" + life + "/" + p.Name) }
+// chooseGrantor returns the instance that grants the calls to an endpoint. All instances with the
+// same members choose the same one.
+func chooseGrantor(candidates []Peer, id, domain string) Peer {
+	weight := func(p Peer) uint64 { return xxhash.Sum64String("grantor/" + id + "/" + p.Name) }
 	near := func(p Peer) int {
 		if p.FailureDomain == domain {
 			return 1
@@ -56,7 +58,7 @@
 	})
 }
 
-func earliest(a, b time.Time) time.Time {
+func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
--- a/pkg/throttle/keeper.go
+++ b/pkg/throttle/keeper.go
@@ -11,96 +11,102 @@
 	"github.com/sirupsen/logrus"
 )
 
-// settling is how long after its start an instance may not know the others, and grants nothing: members greet each other
-// for four seconds.
-const settling = 5 * time.Second
+// settleTime is how long after its start an instance may not know all members yet. It grants no
+// permits before.
+const settleTime = 5 * time.Second
 
-// Peers are the other instances.
+// Peers gives access to the other instances.
 type Peers interface {
 	Self() Peer
-	// Leaves tells whether this instance leaves: it may serve on for a while.
+	// SelfLeaving reports whether this instance is leaving. It may serve requests for a while
+	// longer.
 	Leaves() bool
-	// Live are the others that live and do not leave, Leaving those that live and leave.
+	// Live returns the other live instances that are not leaving, and Leaving those that are.
 	Live() []Peer
 	Leaving() []Peer
-	// Ask asks another instance for calls.
+	// RequestPermits requests permits from another instance.
 	Ask(ctx context.Context, to Peer, ask Ask) (Grant, error)
 }
 
-// Keeper has all instances together heed the limits of a table. For each endpoint that names one, one instance grants the
-// calls: of the endpoint's failure domain, if any is seen there, the first by rendezvous hashing. The others ask it, for a few
-// calls at a time that must begin soon. It grants the part of the limit that it sees of the instances. Safe for concurrent use.
+// Limiter enforces the rate limits of a Table across all instances. For each limited endpoint, one
+// instance grants permits: the first by rendezvous hashing, preferably in the endpoint's failure
+// domain. The others request small numbers of permits that expire soon. A grantor only grants the
+// share of the limit that corresponds to the instances it can see. Limiter is safe for concurrent
+// use.
 type Keeper struct {
 	table *Table
 	peers Peers
-	// domainOf returns an endpoint's failure domain; empty: not known.
-	domainOf func(life string) string
+	// domainOf returns the failure domain of an endpoint, or an empty string if unknown.
+	domainOf func(id string) string
 	clock    clockwork.Clock
 	log      *logrus.Entry
-	// settled is when this instance knows the others.
-	settled time.Time
-	// start runs what asks another instance, beside; draw is a random number from 0 up to 1.
-	start func(func())
-	draw  func() float64
+	// settledAt is when this instance is expected to know the other members.
+	settledAt time.Time
+	// start runs a permit request in the background; random returns a number in [0, 1).
+	start  func(func())
+	random func() float64
 
-	mu    sync.Mutex
-	sight sight
-	// part is that of the instances which is seen, candidates are those that may grant.
-	part       float64
+	mu      sync.Mutex
+	members memberView
+	// share is the visible fraction of the instances; candidates are the eligible grantors.
+	share      float64
 	candidates []Peer
 	endpoints  map[string]*endpoint
 }
 
-// endpoint is how calls to one endpoint's life are granted.
+// endpoint is the permit state of one endpoint.
 type endpoint struct {
-	// grantor grants them; this instance if own. looked says that this is known for the candidates as they are.
-	grantor Peer
-	own     bool
-	looked  bool
-	// bucket is of what this instance grants, booked until when askers were told to wait for it.
-	bucket bucket
-	booked time.Time
-	// permits are the ends of the calls granted to this instance; last is how many were granted last, spent how
-	// many of these were used.
-	permits []time.Time
-	last    int
-	spent   int
-	asking  bool
-	nextAsk time.Time
+	// grantor grants the permits; own is set if that is this instance. resolved is cleared when
+	// the candidates may have changed.
+	grantor  Peer
+	own      bool
+	resolved bool
+	// bucket limits the permits that this instance grants; reservedUntil is the latest retry time
+	// assigned to a refused caller.
+	bucket        bucket
+	reservedUntil time.Time
+	// permits holds the expiry times of unused permits. granted is the size of the last grant, and
+	// used the number of permits used since.
+	permits     []time.Time
+	granted     int
+	used        int
+	requesting  bool
+	nextRequest time.Time
 }
 
-// NewKeeper returns a keeper of a table's limits that knows no other instance. Look is to be called once a second.
-func NewKeeper(table *Table, peers Peers, domainOf func(life string) string, clock clockwork.Clock, log *logrus.Entry) *Keeper {
+// NewLimiter returns a limiter for the limits of a table. UpdateMembers must be called once per
+// second.
+func NewKeeper(table *Table, peers Peers, domainOf func(id string) string, clock clockwork.Clock, log *logrus.Entry) *Keeper {
 	return &Keeper{
-		table: table, peers: peers, domainOf: domainOf, clock: clock, log: log, settled: clock.Now().Add(settling),
-		start: func(ask func()) { go ask() }, draw: rand.Float64,
-		part: 1, candidates: []Peer{peers.Self()}, endpoints: map[string]*endpoint{},
+		table: table, peers: peers, domainOf: domainOf, clock: clock, log: log, settledAt: clock.Now().Add(settleTime),
+		start: func(ask func()) { go ask() }, random: rand.Float64,
+		share: 1, candidates: []Peer{peers.Self()}, endpoints: map[string]*endpoint{},
 	}
 }
 
-// Look takes in which instances there are.
+// UpdateMembers refreshes the view of the members.
 func (k *Keeper) Look() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock.Now()
 	live := k.peers.Live()
-	k.part = k.sight.look(now, live, k.peers.Leaving())
-	k.candidates = k.mayGrant(now, live)
-	for life, e := range k.endpoints {
-		if _, limited := k.table.PerSecond(life); !limited {
-			delete(k.endpoints, life)
+	k.share = k.members.update(now, live, k.peers.Leaving())
+	k.candidates = k.eligibleGrantors(now, live)
+	for id, e := range k.endpoints {
+		if _, limited := k.table.PerSecond(id); !limited {
+			delete(k.endpoints, id)
 			continue
 		}
-		e.looked = false
+		e.resolved = false
 	}
 }
 
-// mayGrant returns the instances that may grant calls: those that have lived for long enough to know the others, and do not
-// leave. Where there are none it is all.
-func (k *Keeper) mayGrant(now time.Time, live []Peer) []Peer {
-	settled := slices.DeleteFunc(slices.Clone(live), func(p Peer) bool { return !k.sight.knows(now, k.settled, p) })
-	// The others have chosen another grantor as soon as they hear that this instance leaves.
-	if !k.peers.Leaves() && !now.Before(k.settled) {
+// eligibleGrantors returns the instances that have been live long enough to know all members and
+// are not leaving, or all instances if there are none.
+func (k *Keeper) eligibleGrantors(now time.Time, live []Peer) []Peer {
+	settled := slices.DeleteFunc(slices.Clone(live), func(p Peer) bool { return !k.members.settled(now, k.settledAt, p) })
+	// The other instances choose another grantor as soon as they learn that this one is leaving.
+	if !k.peers.Leaves() && !now.Before(k.settledAt) {
 		settled = append(settled, k.peers.Self())
 	}
 	if len(settled) == 0 {
@@ -109,76 +115,76 @@
 	return settled
 }
 
-// Any tells whether any limit holds.
+// Any reports whether any limit is in force.
 func (k *Keeper) Any() bool { return k.table.Count() > 0 }
 
-// Left is how long it takes until this instance may next call an endpoint's life, as far as is known; 0: it may now. To ask
-// is to want to: where another instance grants the calls, it is asked.
-func (k *Keeper) Left(life string) time.Duration {
-	perSecond, limited := k.table.PerSecond(life)
+// Delay is the time until this instance may call an endpoint, as far as it knows; 0 if it may call
+// now. If another instance grants the permits, Delay requests some in the background.
+func (k *Keeper) Left(id string) time.Duration {
+	perSecond, limited := k.table.PerSecond(id)
 	if !limited {
 		return 0
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock.Now()
-	e := k.endpoint(now, life)
+	e := k.endpoint(now, id)
 	if e.own {
 		return e.bucket.wait(now, k.rate(perSecond))
 	}
-	e.drop(now)
+	e.dropExpired(now)
 	if len(e.permits) > 0 {
 		return 0
 	}
-	if !e.asking && !now.Before(e.nextAsk) {
-		k.ask(now, life, e, perSecond)
+	if !e.requesting && !now.Before(e.nextRequest) {
+		k.request(now, id, e, perSecond)
 	}
-	return max(askTime, e.nextAsk.Sub(now))
+	return max(requestTime, e.nextRequest.Sub(now))
 }
 
-// Spend tells whether a call to an endpoint's life may begin, and counts it.
-func (k *Keeper) Spend(life string) bool {
-	perSecond, limited := k.table.PerSecond(life)
+// Allow reports whether a call to an endpoint may start, and counts it.
+func (k *Keeper) Spend(id string) bool {
+	perSecond, limited := k.table.PerSecond(id)
 	if !limited {
 		return true
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock.Now()
-	e := k.endpoint(now, life)
+	e := k.endpoint(now, id)
 	if e.own {
 		return e.bucket.take(now, k.rate(perSecond), 1) == 1
 	}
-	e.drop(now)
+	e.dropExpired(now)
 	if len(e.permits) == 0 {
 		return false
 	}
 	e.permits = e.permits[1:]
-	e.spent++
+	e.used++
 	return true
 }
 
-// endpoint returns how calls to an endpoint's life are granted, by the candidates as they are now.
-func (k *Keeper) endpoint(now time.Time, life string) *endpoint {
-	e := k.endpoints[life]
+// endpoint returns the permit state of an endpoint after resolving its grantor.
+func (k *Keeper) endpoint(now time.Time, id string) *endpoint {
+	e := k.endpoints[id]
 	if e == nil {
 		e = &endpoint{}
-		k.endpoints[life] = e
+		k.endpoints[id] = e
 	}
-	if e.looked {
+	if e.resolved {
 		return e
 	}
 	self := k.peers.Self()
-	grantor := chooseGrantor(k.candidates, life, k.domainOf(life))
+	grantor := chooseGrantor(k.candidates, id, k.domainOf(id))
 	own := grantor.Name == self.Name
 	if own && !e.own {
-		e.bucket = bucket{at: latest(now, k.settled).Add(permitLife)}
+		e.bucket = bucket{at: later(now, k.settledAt).Add(permitTTL)}
 	}
-	e.grantor, e.own, e.looked = grantor, own, true
+	e.grantor, e.own, e.resolved = grantor, own, true
 	return e
 }
 
-func latest(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/pkg/throttle/keeper_test.go
+++ b/pkg/throttle/keeper_test.go
@@ -13,8 +13,8 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/throttle"
 )
 
-// others are the instances beside one that is tested; they answer each question alike.
-type others struct {
+// fakePeers are peers that all give the same answer.
+type fakePeers struct {
 	live   []throttle.Peer
 	leaves bool
 	answer throttle.Grant
@@ -23,20 +23,20 @@
 	to     []throttle.Peer
 }
 
-func (o *others) Self() throttle.Peer      { return throttle.Peer{Name: "self", FailureDomain: "far"} }
-func (o *others) Leaves() bool             { return o.leaves }
-func (o *others) Live() []throttle.Peer    { return o.live }
-func (o *others) Leaving() []throttle.Peer { return nil }
-func (o *others) Ask(_ context.Context, to throttle.Peer, ask throttle.Ask) (throttle.Grant, error) {
+func (o *fakePeers) Self() throttle.Peer      { return throttle.Peer{Name: "self", FailureDomain: "far"} }
+func (o *fakePeers) Leaves() bool             { return o.leaves }
+func (o *fakePeers) Live() []throttle.Peer    { return o.live }
+func (o *fakePeers) Leaving() []throttle.Peer { return nil }
+func (o *fakePeers) Ask(_ context.Context, to throttle.Peer, ask throttle.Ask) (throttle.Grant, error) {
 	o.asked, o.to = append(o.asked, ask), append(o.to, to)
 	return o.answer, o.err
 }
 
-var _ = Describe("calls to an endpoint that names a limit", func() {
+var _ = Describe("calls to a rate-limited endpoint", func() {
 	var (
 		clock  *clockwork.FakeClock
 		table  *throttle.Table
-		peers  *others
+		peers  *fakePeers
 		keeper *throttle.Keeper
 	)
 	near := []throttle.Peer{{Name: "a", FailureDomain: "near"}, {Name: "b", FailureDomain: "near"}, {Name: "c", FailureDomain: "far"}}
@@ -44,12 +44,12 @@
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
 		table = throttle.NewTable(clock, logging.Discard().For("throttle"))
-		peers = &others{}
+		peers = &fakePeers{}
 		keeper = throttle.NewKeeper(table, peers, func(string) string { return "near" }, clock, logging.Discard().For("throttle"))
-		// Asks are answered between one look and the next.
+		// Requests are queued and answered by answerRequests.
 		var pending []func()
-		keeper.Start(func(ask func()) { pending = append(pending, ask) }, func() float64 { return 0 })
-		answerAsks = func() {
+		keeper.SetHooks(func(ask func()) { pending = append(pending, ask) }, func() float64 { return 0 })
+		answerRequests = func() {
 			for _, ask := range pending {
 				ask()
 			}
@@ -57,92 +57,92 @@
 		}
 	})
 
-	It("are not held up while it names none", func() {
+	It("are not held up without a limit", func() {
 		Expect(keeper.Left("e")).To(BeZero())
 		Expect(keeper.Spend("e")).To(BeTrue())
 		Expect(keeper.Any()).To(BeFalse())
 	})
 
-	It("are granted by the only instance, but not before it would know of others", func() {
+	It("are permitted by a single instance only after it has settled", func() {
 		keeper.Look()
 		table.Name("e", 1)
 		Expect(keeper.Spend("e")).To(BeFalse())
-		Expect(keeper.Left("e")).To(Equal(throttle.Settling + throttle.PermitLife + time.Second))
-		clock.Advance(throttle.Settling + throttle.PermitLife + time.Second)
+		Expect(keeper.Left("e")).To(Equal(throttle.SettleTime + throttle.PermitTTL + time.Second))
+		clock.Advance(throttle.SettleTime + throttle.PermitTTL + time.Second)
 		Expect(keeper.Left("e")).To(BeZero())
 		Expect(keeper.Spend("e")).To(BeTrue())
 		Expect(keeper.Spend("e")).To(BeFalse())
 		clock.Advance(time.Hour)
 		Expect(keeper.Spend("e")).To(BeTrue())
-		Expect(keeper.Spend("e")).To(BeFalse(), "what is not used does not add up")
+		Expect(keeper.Spend("e")).To(BeFalse(), "unused capacity does not accumulate")
 	})
 
-	It("are asked for at an instance of the endpoint's failure domain, and begin soon or not at all", func() {
+	It("use permits requested in the endpoint's failure domain, which expire", func() {
 		peers.live, peers.answer = near, throttle.Grant{Granted: 1}
 		keeper.Look()
 		table.Name("e", 8)
 		Expect(keeper.Left("e")).To(BeNumerically(">", 0))
-		answerAsks()
+		answerRequests()
 		Expect(peers.to).To(HaveLen(1))
 		Expect(peers.to[0].FailureDomain).To(Equal("near"))
 		Expect(keeper.Left("e")).To(BeZero())
 		Expect(keeper.Spend("e")).To(BeTrue())
 		Expect(keeper.Spend("e")).To(BeFalse())
-		By("asking for more when all were used")
+		By("requesting more after all were used")
 		Expect(keeper.Left("e")).To(BeNumerically(">", 0))
-		answerAsks()
+		answerRequests()
 		Expect(peers.asked[1].Wanted).To(Equal(2))
-		clock.Advance(throttle.PermitLife)
+		clock.Advance(throttle.PermitTTL)
 		Expect(keeper.Spend("e")).To(BeFalse())
 	})
 
-	It("are asked for again when the instance that was asked says so, and not before", func() {
+	It("request permits no earlier than the grantor suggested", func() {
 		peers.live, peers.answer = near, throttle.Grant{AfterMs: 700}
 		keeper.Look()
 		table.Name("e", 8)
 		keeper.Left("e")
-		answerAsks()
+		answerRequests()
 		Expect(keeper.Left("e")).To(Equal(700 * time.Millisecond))
-		answerAsks()
+		answerRequests()
 		Expect(peers.asked).To(HaveLen(1))
 		clock.Advance(700 * time.Millisecond)
 		keeper.Left("e")
-		answerAsks()
+		answerRequests()
 		Expect(peers.asked).To(HaveLen(2))
 	})
 
-	It("are not made while the instance that grants them can't be asked", func() {
+	It("are not permitted while the grantor is unreachable", func() {
 		peers.live, peers.err = near, errors.New("cut off")
 		keeper.Look()
 		table.Name("e", 8)
 		keeper.Left("e")
-		answerAsks()
+		answerRequests()
 		Expect(keeper.Left("e")).To(Equal(2 * time.Second))
 		Expect(keeper.Spend("e")).To(BeFalse())
 	})
 
-	It("are free again when the instance that grants them has heard that the limit is over", func() {
+	It("are permitted when the grantor reports that the limit was lifted", func() {
 		peers.live, peers.answer = near, throttle.Grant{Lifted: true, AgeMs: 10}
 		keeper.Look()
 		table.Name("e", 8)
 		clock.Advance(time.Second)
 		keeper.Left("e")
-		answerAsks()
+		answerRequests()
 		Expect(keeper.Left("e")).To(BeZero())
 		Expect(keeper.Spend("e")).To(BeTrue())
 	})
 
-	It("are not granted by an instance that is not the one to do so, nor for a limit that is over", func() {
+	It("are not permitted by other instances than the grantor, nor for a lifted limit", func() {
 		ask := throttle.Ask{Life: "e", Wanted: 1, PerSecond: 8, AgeMs: 100}
 		peers.live = near
 		keeper.Look()
 		clock.Advance(time.Minute)
 		Expect(keeper.Answer(ask)).To(Equal(throttle.Grant{AfterMs: 500}))
 		table.Lift("e")
-		Expect(keeper.Answer(ask)).To(Equal(throttle.Grant{Lifted: true}), "it has heard so since")
+		Expect(keeper.Answer(ask)).To(Equal(throttle.Grant{Lifted: true}), "the grantor has the newer report")
 	})
 
-	It("are granted to those who ask, and those who ask in vain come one after another", func() {
+	It("are permitted on request, and refused callers get consecutive times to come back", func() {
 		ask := throttle.Ask{Life: "e", Wanted: 5, PerSecond: 4, AgeMs: 100}
 		keeper.Look()
 		keeper.Answer(ask)
@@ -154,7 +154,7 @@
 		Expect(second.AfterMs).To(BeNumerically("~", 500, 2))
 	})
 
-	It("are left to others by an instance that leaves, unless there is none", func() {
+	It("are permitted by a leaving instance only if there is no other", func() {
 		ask := throttle.Ask{Life: "e", Wanted: 1, PerSecond: 8, AgeMs: 100}
 		peers.leaves, peers.live = true, near[2:]
 		keeper.Look()
@@ -167,21 +167,21 @@
 		Expect(keeper.Answer(ask).Granted).To(Equal(1))
 	})
 
-	It("are fewer where not all instances are seen that lived of late", func() {
+	It("are limited to the visible share of the recently live instances", func() {
 		peers.live = []throttle.Peer{{Name: "c", FailureDomain: "far"}}
 		keeper.Look()
 		peers.live = nil
 		keeper.Look()
 		table.Name("e", 1)
 		keeper.Left("e")
-		clock.Advance(throttle.Settling + throttle.PermitLife)
-		Expect(keeper.Left("e")).To(Equal(2*time.Second), "half of what it names")
+		clock.Advance(throttle.SettleTime + throttle.PermitTTL)
+		Expect(keeper.Left("e")).To(Equal(2*time.Second), "half of the limit")
 		clock.Advance(3 * time.Hour)
 		keeper.Look()
 		Expect(keeper.Spend("e")).To(BeTrue())
-		Expect(keeper.Left("e")).To(Equal(time.Second), "the other is forgotten")
+		Expect(keeper.Left("e")).To(Equal(time.Second), "the record of the other instance expired")
 	})
 })
 
-// answerAsks answers the asks under way.
-var answerAsks func()
+// answerRequests answers the pending requests.
+var answerRequests func()
--- a/pkg/throttle/limit.go
+++ b/pkg/throttle/limit.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// Limit is what an endpoint's life said last of how much it takes, as instances tell each other.
+// Limit is the most recent rate limit of an endpoint, as exchanged between instances.
 type Limit struct {
-	// Life is the ID of the endpoint's life.
+	// EndpointID identifies one incarnation of the endpoint.
 	Life string
-	// Limited: it takes no more than PerSecond requests a second, from all instances together; otherwise it names
-	// no limit any more.
+	// Limited reports whether the endpoint accepts at most PerSecond requests per second from all
+	// instances together. If false, its limit was lifted.
 	Limited   bool
 	PerSecond float64
-	// Age is how long ago it said so, at the most.
+	// Age is an upper bound of the time since the endpoint reported it.
 	Age time.Duration
 }
 
-// Ask asks the instance that grants the calls to an endpoint for some.
+// PermitRequest asks the grantor of an endpoint for permits.
 type Ask struct {
 	Life   string `json:"life"`
 	Wanted int    `json:"wanted"`
-	// PerSecond is the limit that the asker knows of, heard AgeMs ago: the instance asked may not have heard of it.
+	// PerSecond is the limit known to the sender, reported AgeMs ago. The grantor may not know it
+	// yet.
 	PerSecond float64 `json:"per_second"`
 	AgeMs     int64   `json:"age_ms"`
 }
 
-// Grant answers an Ask.
+// PermitGrant is the response to a PermitRequest.
 type Grant struct {
-	// Granted is how many calls the asker may begin within permitLife of its asking.
+	// Granted is the number of calls that may start within permitTTL of the request.
 	Granted int `json:"granted"`
-	// AfterMs is when to ask again, where none are granted.
+	// AfterMs is when to retry if no permits were granted.
 	AfterMs int64 `json:"after_ms"`
-	// Lifted: the endpoint names no limit any more, as of AgeMs ago.
+	// Lifted reports that the endpoint's limit was lifted, as of AgeMs ago.
 	Lifted bool  `json:"lifted"`
 	AgeMs  int64 `json:"age_ms"`
 }
 
-// Peer is an instance.
+// Peer identifies an instance.
 type Peer struct {
 	Name          string
 	Address       string
 	FailureDomain string
-	// Incarnation grows with each start.
+	// Incarnation increases with each start.
 	Incarnation uint64
 }
--- a/pkg/throttle/model_test.go
+++ b/pkg/throttle/model_test.go
@@ -16,38 +16,40 @@
 )
 
 const (
-	// tick is the step of the model's time, lookPeriod the time between two looks and heartbeats of an instance, and
-	// suspectAfter how long it takes to miss another one.
+	// tick is the simulation step, updatePeriod the period of membership updates and heartbeats,
+	// and suspectAfter the failure detection time.
 	tick         = 10 * time.Millisecond
-	lookPeriod   = time.Second
+	updatePeriod = time.Second
 	suspectAfter = 3 * time.Second
-	// window is over how long the users count, contact how long after the first word they begin to.
-	window  = 4 * time.Second
-	contact = 3 * time.Second
+	// window is the interval over which arrivals are counted, and grace how long after the first
+	// reported limit counting starts.
+	window = 4 * time.Second
+	grace  = 3 * time.Second
 )
 
-// model has instances that send to one endpoint which names a limit: no sleep, one goroutine, repeated by its seed.
+// model simulates instances that send requests to one rate-limited endpoint. It runs in a single
+// goroutine on a fake clock and is deterministic for a given seed.
 type model struct {
 	clock     *clockwork.FakeClock
 	random    *rand.Rand
 	began     time.Time
 	instances []*modelInstance
-	// demand is how many requests a second each instance would send.
+	// demand is the request rate offered to each instance, per second.
 	demand float64
-	// limit is what the endpoint names, in requests a second; negative: nothing.
+	// limit is the reported limit in requests per second; negative for none.
 	limit float64
 	named time.Time
-	// pending are asks under way, and when they arrive.
-	pending  []pendingAsk
+	// pending holds permit requests in transit.
+	pending  []pendingRequest
 	arrivals []time.Time
 }
 
-type pendingAsk struct {
+type pendingRequest struct {
 	at  time.Time
 	run func()
 }
 
-// modelInstance is an instance, on one side of a cut.
+// modelInstance is one simulated instance.
 type modelInstance struct {
 	model *model
 	throttle.Peer
@@ -55,11 +57,11 @@
 	keeper *throttle.Keeper
 	side   int
 	dead   bool
-	// leaves says that it has told the others so; it serves on.
+	// leaves reports that the instance announced its departure. It still sends requests.
 	leaves bool
-	// excused is until when its requests do not count, since it has started anew.
+	// excused is until when requests are not counted after a restart.
 	excused time.Time
-	// heard has when each other instance was heard last.
+	// heard is when a heartbeat of each other instance last arrived.
 	heard map[string]time.Time
 }
 
@@ -73,46 +75,46 @@
 	return m
 }
 
-// restart has an instance begin anew, that knows nothing.
+// restart replaces an instance by a new incarnation without state.
 func (m *model) restart(i int) {
 	instance := m.instances[i]
 	instance.heard, instance.dead, instance.leaves = map[string]time.Time{}, false, false
 	instance.Incarnation++
-	instance.excused = m.clock.Now().Add(contact)
+	instance.excused = m.clock.Now().Add(grace)
 	instance.table = throttle.NewTable(m.clock, logging.Discard().For("throttle"))
 	instance.keeper = throttle.NewKeeper(instance.table, instance, func(string) string { return "0" }, m.clock, logging.Discard().For("throttle"))
-	instance.keeper.Start(func(ask func()) {
+	instance.keeper.SetHooks(func(ask func()) {
 		late := time.Duration(m.random.IntN(40)) * time.Millisecond
-		m.pending = append(m.pending, pendingAsk{at: m.clock.Now().Add(late), run: ask})
+		m.pending = append(m.pending, pendingRequest{at: m.clock.Now().Add(late), run: ask})
 	}, m.random.Float64)
 }
 
 // Self implements throttle.Peers.
 func (i *modelInstance) Self() throttle.Peer { return i.Peer }
 
-// Leaves implements throttle.Peers.
+// SelfLeaving implements throttle.Peers.
 func (i *modelInstance) Leaves() bool { return i.leaves }
 
 // Live implements throttle.Peers.
 func (i *modelInstance) Live() []throttle.Peer {
-	return i.seen(false)
+	return i.visible(false)
 }
 
 // Leaving implements throttle.Peers.
-func (i *modelInstance) Leaving() []throttle.Peer { return i.seen(true) }
+func (i *modelInstance) Leaving() []throttle.Peer { return i.visible(true) }
 
-// seen are the others that live as far as this one knows, those that leave or those that don't.
-func (i *modelInstance) seen(leaving bool) []throttle.Peer {
-	var seen []throttle.Peer
+// visible returns the other instances that appear live to this one, by whether they are leaving.
+func (i *modelInstance) visible(leaving bool) []throttle.Peer {
+	var visible []throttle.Peer
 	for _, other := range i.model.instances {
 		if at, heard := i.heard[other.Name]; heard && i.model.clock.Since(at) < suspectAfter && other.leaves == leaving {
-			seen = append(seen, other.Peer)
+			visible = append(visible, other.Peer)
 		}
 	}
-	return seen
+	return visible
 }
 
-// Ask implements throttle.Peers.
+// RequestPermits implements throttle.Peers.
 func (i *modelInstance) Ask(_ context.Context, to throttle.Peer, ask throttle.Ask) (throttle.Grant, error) {
 	for _, other := range i.model.instances {
 		if other.Name == to.Name && !other.dead && other.side == i.side {
@@ -122,14 +124,14 @@
 	return throttle.Grant{}, errors.New("cut off")
 }
 
-// cut puts each failure domain on one of so many sides; 1: all see each other.
-func (m *model) cut(sides int) {
+// partition distributes the failure domains over the given number of sides; 1 heals the partition.
+func (m *model) partition(sides int) {
 	for n, i := range m.instances {
 		i.side = n % 3 % sides
 	}
 }
 
-// run lets time pass.
+// run advances the simulation.
 func (m *model) run(span time.Duration) {
 	for until := m.clock.Now().Add(span); m.clock.Now().Before(until); {
 		m.step()
@@ -153,17 +155,17 @@
 		if i.dead {
 			continue
 		}
-		if (ticks+7*n)%int(lookPeriod/tick) == 0 {
-			m.tell(i)
+		if (ticks+7*n)%int(updatePeriod/tick) == 0 {
+			m.heartbeat(i)
 		}
-		for range m.wishes() {
+		for range m.offered() {
 			m.send(i)
 		}
 	}
 }
 
-// wishes is how many requests come to an instance in a tick.
-func (m *model) wishes() int {
+// offered is the number of requests that arrive at an instance in one tick.
+func (m *model) offered() int {
 	mean := m.demand * tick.Seconds()
 	whole := int(mean)
 	if m.random.Float64() < mean-float64(whole) {
@@ -172,8 +174,8 @@
 	return whole
 }
 
-// tell has an instance look at the others and send them its heartbeat.
-func (m *model) tell(i *modelInstance) {
+// heartbeat updates the members of an instance and sends its limits to the others.
+func (m *model) heartbeat(i *modelInstance) {
 	i.keeper.Look()
 	limits := i.table.Tell(8)
 	for _, other := range m.instances {
@@ -184,7 +186,7 @@
 	}
 }
 
-// send sends a request, if it may be, and takes in the answer.
+// send sends a request if permitted, and applies the reported limit.
 func (m *model) send(i *modelInstance) {
 	if i.keeper.Left("e") > 0 || !i.keeper.Spend("e") {
 		return
@@ -202,18 +204,18 @@
 	i.table.Name("e", m.limit)
 }
 
-// most is the greatest number of arrivals in a window, of those that count.
-func (m *model) most() int {
-	most, first := 0, 0
+// peak is the highest number of counted arrivals within a window.
+func (m *model) peak() int {
+	peak, first := 0, 0
 	for n, at := range m.arrivals {
-		for m.arrivals[first].Before(m.named.Add(contact)) && first < n || at.Sub(m.arrivals[first]) > window {
+		for m.arrivals[first].Before(m.named.Add(grace)) && first < n || at.Sub(m.arrivals[first]) > window {
 			first++
 		}
-		if !at.Before(m.named.Add(contact)) {
-			most = max(most, n-first+1)
+		if !at.Before(m.named.Add(grace)) {
+			peak = max(peak, n-first+1)
 		}
 	}
-	return most
+	return peak
 }
 
 // since counts the arrivals after a time.
@@ -227,12 +229,12 @@
 	return n
 }
 
-// allowed is what the users allow in a window.
+// allowed is the permitted number of arrivals within a window.
 func (m *model) allowed() int {
-	return int(1.5*max(throttle.LeastPerSecond, m.limit)*window.Seconds()) + 5
+	return int(1.5*max(throttle.MinPerSecond, m.limit)*window.Seconds()) + 5
 }
 
-var _ = Describe("all instances together", func() {
+var _ = Describe("all instances in total", func() {
 	entries := []TableEntry{}
 	for _, size := range []struct {
 		n     int
@@ -243,34 +245,34 @@
 		}
 	}
 
-	// settled is a model whose instances know each other and the limit.
+	// settled returns a model whose instances know each other and the limit.
 	settled := func(n int, limit float64, seed uint64) *model {
 		m := newModel(seed, n, 3, -1, 30)
 		m.run(5 * time.Second)
 		m.limit = limit
-		m.run(contact)
+		m.run(grace)
 		return m
 	}
 
-	DescribeTable("send what a limit allows and not much less", func(n int, limit float64, seed uint64) {
+	DescribeTable("use most of a limit without exceeding it", func(n int, limit float64, seed uint64) {
 		m := settled(n, limit, seed)
 		from := m.clock.Now().Add(5 * time.Second)
 		m.run(25 * time.Second)
-		Expect(m.most()).To(BeNumerically("<=", m.allowed()))
-		Expect(m.since(from)).To(BeNumerically(">=", 0.8*max(throttle.LeastPerSecond, limit)*20-1))
+		Expect(m.peak()).To(BeNumerically("<=", m.allowed()))
+		Expect(m.since(from)).To(BeNumerically(">=", 0.8*max(throttle.MinPerSecond, limit)*20-1))
 	}, entries)
 
-	DescribeTable("keep to it while cuts come and go", func(n int, limit float64, seed uint64) {
+	DescribeTable("stay within it during partitions", func(n int, limit float64, seed uint64) {
 		m := settled(n, limit, seed)
 		m.run(3 * time.Second)
 		for _, sides := range []int{2, 1, 3, 1, 3, 2, 1} {
-			m.cut(sides)
+			m.partition(sides)
 			m.run(time.Duration(2000+m.random.IntN(8000)) * time.Millisecond)
 		}
-		Expect(m.most()).To(BeNumerically("<=", m.allowed()))
+		Expect(m.peak()).To(BeNumerically("<=", m.allowed()))
 	}, entries)
 
-	DescribeTable("keep to it while instances crash and start again", func(n int, limit float64, seed uint64) {
+	DescribeTable("stay within it while instances crash and restart", func(n int, limit float64, seed uint64) {
 		m := settled(n, limit, seed)
 		for range 12 {
 			victim := m.random.IntN(n)
@@ -279,10 +281,10 @@
 			m.restart(victim)
 			m.run(time.Duration(m.random.IntN(3000)) * time.Millisecond)
 		}
-		Expect(m.most()).To(BeNumerically("<=", m.allowed()))
+		Expect(m.peak()).To(BeNumerically("<=", m.allowed()))
 	}, entries)
 
-	DescribeTable("go on using a limit while an instance starts anew again and again", func(victim int) {
+	DescribeTable("keep using a limit while an instance restarts again and again", func(victim int) {
 		m := settled(6, 4, 1)
 		from := m.clock.Now()
 		for range 8 {
@@ -291,11 +293,11 @@
 			m.restart(victim)
 			m.run(4500 * time.Millisecond)
 		}
-		Expect(m.most()).To(BeNumerically("<=", m.allowed()))
+		Expect(m.peak()).To(BeNumerically("<=", m.allowed()))
 		Expect(m.since(from)).To(BeNumerically(">", 4*40/2), "of 160")
 	}, Entry("the first", 0), Entry("the second", 1), Entry("the third", 2), Entry("the fourth", 3), Entry("the fifth", 4), Entry("the sixth", 5))
 
-	DescribeTable("keep to it while instances leave as planned, and serve on until they end", func(n int, limit float64, seed uint64) {
+	DescribeTable("stay within it while instances leave and still send requests", func(n int, limit float64, seed uint64) {
 		m := settled(n, limit, seed)
 		m.run(2 * time.Second)
 		for leaver := range min(n, 6) {
@@ -306,15 +308,15 @@
 			m.restart(leaver)
 			m.run(4 * time.Second)
 		}
-		Expect(m.most()).To(BeNumerically("<=", m.allowed()))
+		Expect(m.peak()).To(BeNumerically("<=", m.allowed()))
 	}, entries)
 
-	It("send as before when an answer names no limit any more", func() {
+	It("send at the full rate after the limit was lifted", func() {
 		m := settled(6, 1, 1)
 		m.limit = -1
 		m.run(4 * time.Second)
 		from := m.clock.Now()
 		m.run(time.Second)
-		Expect(m.since(from)).To(BeNumerically(">", 100), "of 180 that come")
+		Expect(m.since(from)).To(BeNumerically(">", 100), "of 180 offered")
 	})
 })
--- a/pkg/throttle/sight.go
+++ b/pkg/throttle/sight.go
@@ -2,52 +2,53 @@
 
 import "time"
 
-// missedFor is how long an instance counts as cut off that was silent without having left: regions lose each other for
-// an hour now and then. Of 400 instances 15 fail in that time, which takes a twenty-fifth from what all others may send.
-const missedFor = 2 * time.Hour
+// absentTTL is how long an instance that disappeared without leaving counts as partitioned away.
+// It is longer than the expected duration of a network partition between regions.
+const absentTTL = 2 * time.Hour
 
-// sight knows which part of the instances this one sees. Those that it does not see may live on behind a cut, and send to
-// the same endpoints.
-type sight struct {
-	// seen has the other instances, by name.
-	seen map[string]sighting
+// memberView tracks which fraction of the instances is visible. The others may be on the other
+// side of a partition and still send to the same endpoints.
+type memberView struct {
+	// members holds the other instances by name.
+	members map[string]memberRecord
 }
 
-// sighting is when another instance was seen.
-type sighting struct {
+// memberRecord is when another instance was visible.
+type memberRecord struct {
 	incarnation uint64
-	// first is when it was first seen since its start, and last when it was last.
+	// first is when this incarnation was first visible, and last when it last was.
 	first time.Time
 	last  time.Time
 }
 
-// look takes in which other instances live and which leave, and returns the part that is seen of those that may live.
-func (s *sight) look(now time.Time, live, leaving []Peer) float64 {
-	if s.seen == nil {
-		s.seen = map[string]sighting{}
+// update records the live and leaving instances and returns the visible fraction of all instances
+// that may be running.
+func (s *memberView) update(now time.Time, live, leaving []Peer) float64 {
+	if s.members == nil {
+		s.members = map[string]memberRecord{}
 	}
 	for _, p := range live {
-		known := s.seen[p.Name]
+		known := s.members[p.Name]
 		if known.first.IsZero() || known.incarnation != p.Incarnation {
-			known = sighting{incarnation: p.Incarnation, first: now}
+			known = memberRecord{incarnation: p.Incarnation, first: now}
 		}
 		known.last = now
-		s.seen[p.Name] = known
+		s.members[p.Name] = known
 	}
 	for _, p := range leaving {
-		delete(s.seen, p.Name)
+		delete(s.members, p.Name)
 	}
-	for name, known := range s.seen {
-		if now.Sub(known.last) > missedFor {
-			delete(s.seen, name)
+	for name, known := range s.members {
+		if now.Sub(known.last) > absentTTL {
+			delete(s.members, name)
 		}
 	}
-	return float64(1+len(live)) / float64(1+len(s.seen))
+	return float64(1+len(live)) / float64(1+len(s.members))
 }
 
-// knows tells whether another instance that lives has had the time to know all others, as this one has if it was there
-// before it: a cut that is over makes nobody new.
-func (s *sight) knows(now, settled time.Time, p Peer) bool {
-	first := s.seen[p.Name].first
-	return !now.Before(settled) && (first.Before(settled) || now.Sub(first) >= settling)
+// settled reports whether a live peer has had time to learn all members. Peers that were there
+// before this instance settled count as settled, and stay so after a partition heals.
+func (s *memberView) settled(now, settledAt time.Time, p Peer) bool {
+	first := s.members[p.Name].first
+	return !now.Before(settledAt) && (first.Before(settledAt) || now.Sub(first) >= settleTime)
 }
--- a/pkg/throttle/table.go
+++ b/pkg/throttle/table.go
@@ -1,5 +1,5 @@
-// Package throttle keeps the limits that endpoints in need name in their answers: the requests a second that one
-// takes from all instances together, for as long as it says so.
+// Package throttle enforces the rate limits that endpoints report in their responses, in requests
+// per second from all instances together.
 package throttle
 
 import (
@@ -13,55 +13,54 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Table has the limits that endpoints name. Safe for concurrent use.
+// Table holds the reported rate limits. It is safe for concurrent use.
 type Table struct {
 	clock clockwork.Clock
 	log   *logrus.Entry
-	// inForce is how many limits hold, so that it costs nothing to ask while there are none.
+	// inForce is the number of limits in force. It makes lookups cheap while there are none.
 	inForce atomic.Int64
 
 	mu sync.Mutex
-	// standings are by the ID of an endpoint's life.
-	standings map[string]standing
-	// turn is how many limits were told, so that the next are others.
-	turn int
+	// entries is keyed by endpoint ID.
+	entries map[string]entry
+	// next is the index of the first entry of the next Gossip.
+	next int
 }
 
-// standing is what an endpoint's life said last of its limit.
-type standing struct {
+// entry is the last known limit of an endpoint.
+type entry struct {
 	limited bool
-	// perSecond is the limit, in requests a second.
+	// perSecond is in requests per second.
 	perSecond float64
-	// said is when an instance heard it.
-	said time.Time
+	// reportedAt is when an instance received it from the endpoint.
+	reportedAt time.Time
 }
 
-// NewTable returns a table without limits.
 func NewTable(clock clockwork.Clock, log *logrus.Entry) *Table {
-	return &Table{clock: clock, log: log, standings: map[string]standing{}}
+	return &Table{clock: clock, log: log, entries: map[string]entry{}}
 }
 
-// Name takes in that an endpoint's life has just named a limit, in requests a second.
-func (t *Table) Name(life string, perSecond float64) {
-	t.take(life, standing{limited: true, perSecond: perSecond, said: t.clock.Now()})
+// Set records that an endpoint reported a limit, in requests per second.
+func (t *Table) Name(id string, perSecond float64) {
+	t.merge(id, entry{limited: true, perSecond: perSecond, reportedAt: t.clock.Now()})
 }
 
-// Lift takes in that an endpoint's life has just answered without naming a limit.
-func (t *Table) Lift(life string) {
+// Clear records that an endpoint responded without a limit.
+func (t *Table) Lift(id string) {
 	if t.inForce.Load() > 0 {
-		t.take(life, standing{said: t.clock.Now()})
+		t.merge(id, entry{reportedAt: t.clock.Now()})
 	}
 }
 
-// take keeps a standing that is newer than what is known.
-func (t *Table) take(life string, s standing) {
+// merge stores an entry if it is newer than the known one.
+func (t *Table) merge(id string, s entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	before, known := t.standings[life]
-	if known && !s.said.After(before.said) || !known && !s.limited {
+	before, known := t.entries[id]
+	if known && !s.reportedAt.After(before.reportedAt) || !known && !s.limited {
 		return
 	}
-	t.standings[life] = s
+	t.entries[id] = s
 	if s.limited && !before.limited {
 		t.inForce.Add(1)
 	}
@@ -69,90 +68,91 @@
 		t.inForce.Add(-1)
 	}
 	if s.limited != before.limited || s.perSecond != before.perSecond {
-		t.log.WithFields(logrus.Fields{"event": "endpoint_limits", "endpoint": life, "limited": s.limited, "per_second": s.perSecond}).Info()
+		t.log.WithFields(logrus.Fields{"event": "endpoint_limits", "endpoint": id, "limited": s.limited, "per_second": s.perSecond}).Info()
 	}
 }
 
-// PerSecond is the limit of an endpoint's life, in requests a second, and whether it names one.
-func (t *Table) PerSecond(life string) (float64, bool) {
+// PerSecond returns the limit of an endpoint in requests per second, and whether there is one.
+func (t *Table) PerSecond(id string) (float64, bool) {
 	if t.inForce.Load() == 0 {
 		return 0, false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.standings[life]
+	s := t.entries[id]
 	return s.perSecond, s.limited
 }
 
-// age is how long ago an endpoint's life said what is known of its limit.
-func (t *Table) age(life string) time.Duration {
+// age is the time since the endpoint reported its last known limit.
+func (t *Table) age(id string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.clock.Since(t.standings[life].said)
+	return t.clock.Since(t.entries[id].reportedAt)
 }
 
-// onTheWay is added to the age of what is told, for the time until it is heard: otherwise old news would become newer with each
-// instance that passes it on, and win over what an endpoint has said since.
-const onTheWay = 250 * time.Millisecond
+// transitMargin is added to the age of gossiped entries to account for the transit time. Otherwise
+// an old entry would appear newer with each hop and could override a later report.
+const transitMargin = 250 * time.Millisecond
 
-// Tell returns up to n limits, and others the next time if there are more.
+// Gossip returns up to n entries to send to other instances, in rotation.
 func (t *Table) Tell(n int) []Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.standings) == 0 {
+	if len(t.entries) == 0 {
 		return nil
 	}
-	lives := slices.Sorted(maps.Keys(t.standings))
-	n = min(n, len(lives))
-	told := make([]Limit, 0, n)
+	ids := slices.Sorted(maps.Keys(t.entries))
+	n = min(n, len(ids))
+	limits := make([]Limit, 0, n)
 	for i := range n {
-		life := lives[(t.turn+i)%len(lives)]
-		s := t.standings[life]
-		told = append(told, Limit{Life: life, Limited: s.limited, PerSecond: s.perSecond, Age: t.clock.Since(s.said) + onTheWay})
+		id := ids[(t.next+i)%len(ids)]
+		s := t.entries[id]
+		limits = append(limits, Limit{Life: id, Limited: s.limited, PerSecond: s.perSecond, Age: t.clock.Since(s.reportedAt) + transitMargin})
 	}
-	t.turn = (t.turn + n) % len(lives)
-	return told
+	t.next = (t.next + n) % len(ids)
+	return limits
 }
 
-// Hear takes in what another instance tells.
+// Merge applies entries received from another instance.
 func (t *Table) Hear(limits []Limit) {
 	now := t.clock.Now()
 	for _, l := range limits {
-		t.take(l.Life, standing{limited: l.Limited, perSecond: l.PerSecond, said: now.Add(-l.Age)})
+		t.merge(l.Life, entry{limited: l.Limited, perSecond: l.PerSecond, reportedAt: now.Add(-l.Age)})
 	}
 }
 
-// Count is how many limits hold.
+// Count returns the number of limits in force.
 func (t *Table) Count() int { return int(t.inForce.Load()) }
 
-// List returns the limits that hold, in requests a second.
+// List returns the limits in force, in requests per second.
 func (t *Table) List() map[string]float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	list := map[string]float64{}
-	for life, s := range t.standings {
+	for id, s := range t.entries {
 		if s.limited {
-			list[life] = s.perSecond
+			list[id] = s.perSecond
 		}
 	}
 	return list
 }
 
-// liftedKept is how long it is remembered that a limit was lifted, so that older news of it is known to be old.
-const liftedKept = time.Minute
+// clearedTTL is how long a cleared limit is remembered, so that older reports of it are recognised
+// as outdated.
+const clearedTTL = time.Minute
 
-// Sweep forgets limits that were lifted, and those of endpoints that are gone.
-func (t *Table) Sweep(exists func(life string) bool) {
+// Sweep removes expired entries of cleared limits and of endpoints that no longer exist.
+func (t *Table) Sweep(exists func(id string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for life, s := range t.standings {
-		old := t.clock.Since(s.said) > liftedKept
-		if s.limited && exists(life) || !old {
+	for id, s := range t.entries {
+		old := t.clock.Since(s.reportedAt) > clearedTTL
+		if s.limited && exists(id) || !old {
 			continue
 		}
 		if s.limited {
 			t.inForce.Add(-1)
 		}
-		delete(t.standings, life)
+		delete(t.entries, id)
 	}
 }
--- a/pkg/throttle/table_test.go
+++ b/pkg/throttle/table_test.go
@@ -28,7 +28,7 @@
 		table = throttle.NewTable(clock, logging.Discard().For("throttle"))
 	})
 
-	It("has what an endpoint named last, until it names none", func() {
+	It("holds the last reported limit until it is cleared", func() {
 		_, limited := table.PerSecond("a")
 		Expect(limited).To(BeFalse())
 		table.Name("a", 2)
@@ -45,20 +45,20 @@
 		Expect(table.Count()).To(BeZero())
 	})
 
-	It("takes in what others tell, unless it knows something newer", func() {
+	It("merges only entries that are newer", func() {
 		table.Name("a", 2)
 		clock.Advance(5 * time.Second)
 		table.Hear([]throttle.Limit{{Life: "a", Age: 6 * time.Second}})
-		Expect(table.Count()).To(Equal(1), "it named its limit later")
+		Expect(table.Count()).To(Equal(1), "the local entry is newer")
 		table.Hear([]throttle.Limit{{Life: "a", Age: 4 * time.Second}, {Life: "b", Limited: true, PerSecond: 3, Age: time.Second}, {Life: "c", Age: time.Second}})
 		Expect(table.List()).To(Equal(map[string]float64{"b": 3}))
 	})
 
-	It("tells what it knows, and never as newer than it is, whoever passes it on", func() {
+	It("never gossips an entry as newer than it is", func() {
 		other := throttle.NewTable(clock, logging.Discard().For("throttle"))
 		table.Name("a", 2)
 		for range 50 {
-			// Each hears the other's news after a time of which nothing is known.
+			// The time in transit is unknown to the receiver.
 			told := table.Tell(8)
 			clock.Advance(200 * time.Millisecond)
 			other.Hear(told)
@@ -69,9 +69,9 @@
 		Expect(table.Tell(8)[0].Age).To(BeNumerically(">=", 20*time.Second))
 	})
 
-	It("tells many in turn", func() {
-		for _, life := range []string{"a", "b", "c", "d", "e"} {
-			table.Name(life, 1)
+	It("gossips many entries in rotation", func() {
+		for _, id := range []string{"a", "b", "c", "d", "e"} {
+			table.Name(id, 1)
 		}
 		told := map[string]bool{}
 		for range 3 {
@@ -82,11 +82,11 @@
 		Expect(told).To(HaveLen(5))
 	})
 
-	It("forgets limits with their endpoints, and what was lifted after a time", func() {
+	It("removes limits of removed endpoints and cleared limits after a delay", func() {
 		table.Name("a", 1)
 		table.Name("b", 1)
 		clock.Advance(2 * time.Minute)
-		table.Sweep(func(life string) bool { return life == "a" })
+		table.Sweep(func(id string) bool { return id == "a" })
 		Expect(table.List()).To(HaveLen(1))
 		Expect(table.Count()).To(Equal(1))
 		table.Lift("a")
