--- a/pkg/throttle/limiter.go
+++ b/pkg/throttle/limiter.go
@@ -20,7 +20,7 @@
 	Self() Peer
 	// SelfLeaving reports whether this instance is leaving. It may serve requests for a while
 	// longer.
-	Leaves() bool
+	SelfLeaving() bool
 	// Live returns the other live instances that are not leaving, and Leaving those that are.
 	Live() []Peer
 	Leaving() []Peer
@@ -106,7 +106,7 @@
 func (k *Keeper) eligibleGrantors(now time.Time, live []Peer) []Peer {
 	settled := slices.DeleteFunc(slices.Clone(live), func(p Peer) bool { return !k.members.settled(now, k.settledAt, p) })
 	// The other instances choose another grantor as soon as they learn that this one is leaving.
-	if !k.peers.Leaves() && !now.Before(k.settledAt) {
+	if !k.peers.SelfLeaving() && !now.Before(k.settledAt) {
 		settled = append(settled, k.peers.Self())
 	}
 	if len(settled) == 0 {
--- a/pkg/throttle/limiter_test.go
+++ b/pkg/throttle/limiter_test.go
@@ -24,7 +24,7 @@
 }
 
 func (o *fakePeers) Self() throttle.Peer      { return throttle.Peer{Name: "self", FailureDomain: "far"} }
-func (o *fakePeers) Leaves() bool             { return o.leaves }
+func (o *fakePeers) SelfLeaving() bool        { return o.leaves }
 func (o *fakePeers) Live() []throttle.Peer    { return o.live }
 func (o *fakePeers) Leaving() []throttle.Peer { return nil }
 func (o *fakePeers) Ask(_ context.Context, to throttle.Peer, ask throttle.Ask) (throttle.Grant, error) {
--- a/pkg/throttle/model_test.go
+++ b/pkg/throttle/model_test.go
@@ -93,7 +93,7 @@
 func (i *modelInstance) Self() throttle.Peer { return i.Peer }
 
 // SelfLeaving implements throttle.Peers.
-func (i *modelInstance) Leaves() bool { return i.leaves }
+func (i *modelInstance) SelfLeaving() bool { return i.leaves }
 
 // Live implements throttle.Peers.
 func (i *modelInstance) Live() []throttle.Peer {
--- a/service/handover/permits.go
+++ b/service/handover/permits.go
@@ -38,7 +38,7 @@
 func (p *Permits) Self() throttle.Peer { return throttlePeer(p.Instance) }
 
 // Leaves implements throttle.Peers.
-func (p *Permits) Leaves() bool { return p.Stopping() }
+func (p *Permits) SelfLeaving() bool { return p.Stopping() }
 
 // Live implements throttle.Peers.
 func (p *Permits) Live() []throttle.Peer { return throttlePeers(p.Members()) }
