--- a/cmd/cobaltcroftd/gateway/notices.go
+++ b/cmd/cobaltcroftd/gateway/notices.go
@@ -55,9 +55,9 @@
 	}
 	switch {
 	case n.Limited:
-		g.limited.Name(target.ID, n.Limit)
+		g.limited.Set(target.ID, n.Limit)
 	case n.Unlimited:
-		g.limited.Lift(target.ID)
+		g.limited.Clear(target.ID)
 	}
 }
 
--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -49,5 +49,5 @@
 func (g *Gateway) hearDeparting(lives []string) { g.follower.Depart(discovery.Peer, lives...) }
 
 // tellLimits and hearLimits tell and hear which endpoints take only so much from all instances together.
-func (g *Gateway) tellLimits(n int) []throttle.Limit  { return g.limited.Tell(n) }
-func (g *Gateway) hearLimits(limits []throttle.Limit) { g.limited.Hear(limits) }
+func (g *Gateway) tellLimits(n int) []throttle.Limit  { return g.limited.Gossip(n) }
+func (g *Gateway) hearLimits(limits []throttle.Limit) { g.limited.Merge(limits) }
--- a/pkg/throttle/granting.go
+++ b/pkg/throttle/granting.go
@@ -11,7 +11,7 @@
 
 // HandleRequest answers a permit request of another instance.
 func (k *Keeper) Answer(a Ask) Grant {
-	k.table.Hear([]Limit{{Life: a.Life, Limited: true, PerSecond: a.PerSecond, Age: time.Duration(a.AgeMs) * time.Millisecond}})
+	k.table.Merge([]Limit{{Life: a.Life, Limited: true, PerSecond: a.PerSecond, Age: time.Duration(a.AgeMs) * time.Millisecond}})
 	perSecond, limited := k.table.PerSecond(a.Life)
 	if !limited {
 		return Grant{Lifted: true, AgeMs: k.table.age(a.Life).Milliseconds()}
--- a/pkg/throttle/limiter_test.go
+++ b/pkg/throttle/limiter_test.go
@@ -65,7 +65,7 @@
 
 	It("are permitted by a single instance only after it has settled", func() {
 		keeper.Look()
-		table.Name("e", 1)
+		table.Set("e", 1)
 		Expect(keeper.Spend("e")).To(BeFalse())
 		Expect(keeper.Left("e")).To(Equal(throttle.SettleTime + throttle.PermitTTL + time.Second))
 		clock.Advance(throttle.SettleTime + throttle.PermitTTL + time.Second)
@@ -80,7 +80,7 @@
 	It("use permits requested in the endpoint's failure domain, which expire", func() {
 		peers.live, peers.answer = near, throttle.Grant{Granted: 1}
 		keeper.Look()
-		table.Name("e", 8)
+		table.Set("e", 8)
 		Expect(keeper.Left("e")).To(BeNumerically(">", 0))
 		answerRequests()
 		Expect(peers.to).To(HaveLen(1))
@@ -99,7 +99,7 @@
 	It("request permits no earlier than the grantor suggested", func() {
 		peers.live, peers.answer = near, throttle.Grant{AfterMs: 700}
 		keeper.Look()
-		table.Name("e", 8)
+		table.Set("e", 8)
 		keeper.Left("e")
 		answerRequests()
 		Expect(keeper.Left("e")).To(Equal(700 * time.Millisecond))
@@ -114,7 +114,7 @@
 	It("are not permitted while the grantor is unreachable", func() {
 		peers.live, peers.err = near, errors.New("cut off")
 		keeper.Look()
-		table.Name("e", 8)
+		table.Set("e", 8)
 		keeper.Left("e")
 		answerRequests()
 		Expect(keeper.Left("e")).To(Equal(2 * time.Second))
@@ -124,7 +124,7 @@
 	It("are permitted when the grantor reports that the limit was lifted", func() {
 		peers.live, peers.answer = near, throttle.Grant{Lifted: true, AgeMs: 10}
 		keeper.Look()
-		table.Name("e", 8)
+		table.Set("e", 8)
 		clock.Advance(time.Second)
 		keeper.Left("e")
 		answerRequests()
@@ -138,7 +138,7 @@
 		keeper.Look()
 		clock.Advance(time.Minute)
 		Expect(keeper.Answer(ask)).To(Equal(throttle.Grant{AfterMs: 500}))
-		table.Lift("e")
+		table.Clear("e")
 		Expect(keeper.Answer(ask)).To(Equal(throttle.Grant{Lifted: true}), "the grantor has the newer report")
 	})
 
@@ -172,7 +172,7 @@
 		keeper.Look()
 		peers.live = nil
 		keeper.Look()
-		table.Name("e", 1)
+		table.Set("e", 1)
 		keeper.Left("e")
 		clock.Advance(throttle.SettleTime + throttle.PermitTTL)
 		Expect(keeper.Left("e")).To(Equal(2*time.Second), "half of the limit")
--- a/pkg/throttle/model_test.go
+++ b/pkg/throttle/model_test.go
@@ -177,11 +177,11 @@
 // heartbeat updates the members of an instance and sends its limits to the others.
 func (m *model) heartbeat(i *modelInstance) {
 	i.keeper.Look()
-	limits := i.table.Tell(8)
+	limits := i.table.Gossip(8)
 	for _, other := range m.instances {
 		if other != i && !other.dead && other.side == i.side && m.random.Float64() > 0.02 {
 			other.heard[i.Name] = m.clock.Now()
-			other.table.Hear(limits)
+			other.table.Merge(limits)
 		}
 	}
 }
@@ -195,13 +195,13 @@
 		m.arrivals = append(m.arrivals, now)
 	}
 	if m.limit < 0 {
-		i.table.Lift("e")
+		i.table.Clear("e")
 		return
 	}
 	if m.named.IsZero() {
 		m.named = m.clock.Now()
 	}
-	i.table.Name("e", m.limit)
+	i.table.Set("e", m.limit)
 }
 
 // peak is the highest number of counted arrivals within a window.
--- a/pkg/throttle/requesting.go
+++ b/pkg/throttle/requesting.go
@@ -58,7 +58,7 @@
 	k.mu.Unlock()
 	grant, err := k.peers.Ask(ctx, grantor, request)
 	if grant.Lifted {
-		k.table.Hear([]Limit{{Life: request.Life, Age: time.Duration(grant.AgeMs) * time.Millisecond}})
+		k.table.Merge([]Limit{{Life: request.Life, Age: time.Duration(grant.AgeMs) * time.Millisecond}})
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/pkg/throttle/table.go
+++ b/pkg/throttle/table.go
@@ -41,19 +41,19 @@
 }
 
 // Set records that an endpoint reported a limit, in requests per second.
-func (t *Table) Name(id string, perSecond float64) {
-	t.merge(id, entry{limited: true, perSecond: perSecond, reportedAt: t.clock.Now()})
+func (t *Table) Set(id string, perSecond float64) {
+	t.mergeEntry(id, entry{limited: true, perSecond: perSecond, reportedAt: t.clock.Now()})
 }
 
 // Clear records that an endpoint responded without a limit.
-func (t *Table) Lift(id string) {
+func (t *Table) Clear(id string) {
 	if t.inForce.Load() > 0 {
-		t.merge(id, entry{reportedAt: t.clock.Now()})
+		t.mergeEntry(id, entry{reportedAt: t.clock.Now()})
 	}
 }
 
-// merge stores an entry if it is newer than the known one.
-func (t *Table) merge(id string, s entry) {
+// mergeEntry stores an entry if it is newer than the known one.
+func (t *Table) mergeEntry(id string, s entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before, known := t.entries[id]
@@ -95,7 +95,7 @@
 const transitMargin = 250 * time.Millisecond
 
 // Gossip returns up to n entries to send to other instances, in rotation.
-func (t *Table) Tell(n int) []Limit {
+func (t *Table) Gossip(n int) []Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.entries) == 0 {
@@ -114,10 +114,10 @@
 }
 
 // Merge applies entries received from another instance.
-func (t *Table) Hear(limits []Limit) {
+func (t *Table) Merge(limits []Limit) {
 	now := t.clock.Now()
 	for _, l := range limits {
-		t.merge(l.Life, entry{limited: l.Limited, perSecond: l.PerSecond, reportedAt: now.Add(-l.Age)})
+		t.mergeEntry(l.Life, entry{limited: l.Limited, perSecond: l.PerSecond, reportedAt: now.Add(-l.Age)})
 	}
 }
 
--- a/pkg/throttle/table_test.go
+++ b/pkg/throttle/table_test.go
@@ -31,51 +31,51 @@
 	It("holds the last reported limit until it is cleared", func() {
 		_, limited := table.PerSecond("a")
 		Expect(limited).To(BeFalse())
-		table.Name("a", 2)
+		table.Set("a", 2)
 		clock.Advance(time.Second)
-		table.Name("a", 0.5)
+		table.Set("a", 0.5)
 		perSecond, limited := table.PerSecond("a")
 		Expect(limited).To(BeTrue())
 		Expect(perSecond).To(Equal(0.5))
 		Expect(table.List()).To(Equal(map[string]float64{"a": 0.5}))
 		clock.Advance(time.Second)
-		table.Lift("a")
+		table.Clear("a")
 		_, limited = table.PerSecond("a")
 		Expect(limited).To(BeFalse())
 		Expect(table.Count()).To(BeZero())
 	})
 
 	It("merges only entries that are newer", func() {
-		table.Name("a", 2)
+		table.Set("a", 2)
 		clock.Advance(5 * time.Second)
-		table.Hear([]throttle.Limit{{Life: "a", Age: 6 * time.Second}})
+		table.Merge([]throttle.Limit{{Life: "a", Age: 6 * time.Second}})
 		Expect(table.Count()).To(Equal(1), "the local entry is newer")
-		table.Hear([]throttle.Limit{{Life: "a", Age: 4 * time.Second}, {Life: "b", Limited: true, PerSecond: 3, Age: time.Second}, {Life: "c", Age: time.Second}})
+		table.Merge([]throttle.Limit{{Life: "a", Age: 4 * time.Second}, {Life: "b", Limited: true, PerSecond: 3, Age: time.Second}, {Life: "c", Age: time.Second}})
 		Expect(table.List()).To(Equal(map[string]float64{"b": 3}))
 	})
 
 	It("never gossips an entry as newer than it is", func() {
 		other := throttle.NewTable(clock, logging.Discard().For("throttle"))
-		table.Name("a", 2)
+		table.Set("a", 2)
 		for range 50 {
 			// The time in transit is unknown to the receiver.
-			told := table.Tell(8)
+			told := table.Gossip(8)
 			clock.Advance(200 * time.Millisecond)
-			other.Hear(told)
-			told = other.Tell(8)
+			other.Merge(told)
+			told = other.Gossip(8)
 			clock.Advance(200 * time.Millisecond)
-			table.Hear(told)
+			table.Merge(told)
 		}
-		Expect(table.Tell(8)[0].Age).To(BeNumerically(">=", 20*time.Second))
+		Expect(table.Gossip(8)[0].Age).To(BeNumerically(">=", 20*time.Second))
 	})
 
 	It("gossips many entries in rotation", func() {
 		for _, id := range []string{"a", "b", "c", "d", "e"} {
-			table.Name(id, 1)
+			table.Set(id, 1)
 		}
 		told := map[string]bool{}
 		for range 3 {
-			for _, l := range table.Tell(2) {
+			for _, l := range table.Gossip(2) {
 				told[l.Life] = true
 			}
 		}
@@ -83,13 +83,13 @@
 	})
 
 	It("removes limits of removed endpoints and cleared limits after a delay", func() {
-		table.Name("a", 1)
-		table.Name("b", 1)
+		table.Set("a", 1)
+		table.Set("b", 1)
 		clock.Advance(2 * time.Minute)
 		table.Sweep(func(id string) bool { return id == "a" })
 		Expect(table.List()).To(HaveLen(1))
 		Expect(table.Count()).To(Equal(1))
-		table.Lift("a")
+		table.Clear("a")
 		clock.Advance(2 * time.Minute)
 		table.Sweep(func(string) bool { return true })
 		Expect(table.Count()).To(BeZero())
