--- a/pkg/throttle/granting.go
+++ b/pkg/throttle/granting.go
@@ -10,22 +10,22 @@
 )
 
 // HandleRequest answers a permit request of another instance.
-func (k *Keeper) Answer(a Ask) Grant {
+func (k *Keeper) HandleRequest(a PermitRequest) PermitGrant {
 	k.table.Merge([]Limit{{Life: a.Life, Limited: true, PerSecond: a.PerSecond, Age: time.Duration(a.AgeMs) * time.Millisecond}})
 	perSecond, limited := k.table.PerSecond(a.Life)
 	if !limited {
-		return Grant{Lifted: true, AgeMs: k.table.age(a.Life).Milliseconds()}
+		return PermitGrant{Lifted: true, AgeMs: k.table.age(a.Life).Milliseconds()}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock.Now()
 	e := k.endpoint(now, a.Life)
 	if !e.own {
-		return Grant{AfterMs: requestTimeout.Milliseconds()}
+		return PermitGrant{AfterMs: requestTimeout.Milliseconds()}
 	}
 	rate := k.rate(perSecond)
 	if granted := e.bucket.take(now, rate, max(0, min(a.Wanted, maxRequest(perSecond)))); granted > 0 {
-		return Grant{Granted: granted}
+		return PermitGrant{Granted: granted}
 	}
 	// Assign consecutive retry times to refused callers.
 	next := now.Add(e.bucket.wait(now, rate))
@@ -33,7 +33,7 @@
 		next = reserved
 	}
 	e.reservedUntil = earlier(next, now.Add(maxRetryDelay))
-	return Grant{AfterMs: e.reservedUntil.Sub(now).Milliseconds() + 1}
+	return PermitGrant{AfterMs: e.reservedUntil.Sub(now).Milliseconds() + 1}
 }
 
 // rate is the part of a limit that this instance grants, in calls per second: the share of the
--- a/pkg/throttle/limit.go
+++ b/pkg/throttle/limit.go
@@ -15,7 +15,7 @@
 }
 
 // PermitRequest asks the grantor of an endpoint for permits.
-type Ask struct {
+type PermitRequest struct {
 	Life   string `json:"life"`
 	Wanted int    `json:"wanted"`
 	// PerSecond is the limit known to the sender, reported AgeMs ago. The grantor may not know it
@@ -25,7 +25,7 @@
 }
 
 // PermitGrant is the response to a PermitRequest.
-type Grant struct {
+type PermitGrant struct {
 	// Granted is the number of calls that may start within permitTTL of the request.
 	Granted int `json:"granted"`
 	// AfterMs is when to retry if no permits were granted.
--- a/pkg/throttle/limiter.go
+++ b/pkg/throttle/limiter.go
@@ -25,7 +25,7 @@
 	Live() []Peer
 	Leaving() []Peer
 	// RequestPermits requests permits from another instance.
-	Ask(ctx context.Context, to Peer, ask Ask) (Grant, error)
+	RequestPermits(ctx context.Context, to Peer, ask PermitRequest) (PermitGrant, error)
 }
 
 // Limiter enforces the rate limits of a Table across all instances. For each limited endpoint, one
--- a/pkg/throttle/limiter_test.go
+++ b/pkg/throttle/limiter_test.go
@@ -17,9 +17,9 @@
 type fakePeers struct {
 	live   []throttle.Peer
 	leaves bool
-	answer throttle.Grant
+	answer throttle.PermitGrant
 	err    error
-	asked  []throttle.Ask
+	asked  []throttle.PermitRequest
 	to     []throttle.Peer
 }
 
@@ -27,7 +27,7 @@
 func (o *fakePeers) SelfLeaving() bool        { return o.leaves }
 func (o *fakePeers) Live() []throttle.Peer    { return o.live }
 func (o *fakePeers) Leaving() []throttle.Peer { return nil }
-func (o *fakePeers) Ask(_ context.Context, to throttle.Peer, ask throttle.Ask) (throttle.Grant, error) {
+func (o *fakePeers) RequestPermits(_ context.Context, to throttle.Peer, ask throttle.PermitRequest) (throttle.PermitGrant, error) {
 	o.asked, o.to = append(o.asked, ask), append(o.to, to)
 	return o.answer, o.err
 }
@@ -78,7 +78,7 @@
 	})
 
 	It("use permits requested in the endpoint's failure domain, which expire", func() {
-		peers.live, peers.answer = near, throttle.Grant{Granted: 1}
+		peers.live, peers.answer = near, throttle.PermitGrant{Granted: 1}
 		keeper.Look()
 		table.Set("e", 8)
 		Expect(keeper.Left("e")).To(BeNumerically(">", 0))
@@ -97,7 +97,7 @@
 	})
 
 	It("request permits no earlier than the grantor suggested", func() {
-		peers.live, peers.answer = near, throttle.Grant{AfterMs: 700}
+		peers.live, peers.answer = near, throttle.PermitGrant{AfterMs: 700}
 		keeper.Look()
 		table.Set("e", 8)
 		keeper.Left("e")
@@ -122,7 +122,7 @@
 	})
 
 	It("are permitted when the grantor reports that the limit was lifted", func() {
-		peers.live, peers.answer = near, throttle.Grant{Lifted: true, AgeMs: 10}
+		peers.live, peers.answer = near, throttle.PermitGrant{Lifted: true, AgeMs: 10}
 		keeper.Look()
 		table.Set("e", 8)
 		clock.Advance(time.Second)
@@ -133,38 +133,38 @@
 	})
 
 	It("are not permitted by other instances than the grantor, nor for a lifted limit", func() {
-		ask := throttle.Ask{Life: "e", Wanted: 1, PerSecond: 8, AgeMs: 100}
+		ask := throttle.PermitRequest{Life: "e", Wanted: 1, PerSecond: 8, AgeMs: 100}
 		peers.live = near
 		keeper.Look()
 		clock.Advance(time.Minute)
-		Expect(keeper.Answer(ask)).To(Equal(throttle.Grant{AfterMs: 500}))
+		Expect(keeper.HandleRequest(ask)).To(Equal(throttle.PermitGrant{AfterMs: 500}))
 		table.Clear("e")
-		Expect(keeper.Answer(ask)).To(Equal(throttle.Grant{Lifted: true}), "the grantor has the newer report")
+		Expect(keeper.HandleRequest(ask)).To(Equal(throttle.PermitGrant{Lifted: true}), "the grantor has the newer report")
 	})
 
 	It("are permitted on request, and refused callers get consecutive times to come back", func() {
-		ask := throttle.Ask{Life: "e", Wanted: 5, PerSecond: 4, AgeMs: 100}
+		ask := throttle.PermitRequest{Life: "e", Wanted: 5, PerSecond: 4, AgeMs: 100}
 		keeper.Look()
-		keeper.Answer(ask)
+		keeper.HandleRequest(ask)
 		clock.Advance(time.Minute)
-		Expect(keeper.Answer(ask).Granted).To(Equal(1))
-		first, second := keeper.Answer(ask), keeper.Answer(ask)
+		Expect(keeper.HandleRequest(ask).Granted).To(Equal(1))
+		first, second := keeper.HandleRequest(ask), keeper.HandleRequest(ask)
 		Expect(first.Granted).To(BeZero())
 		Expect(first.AfterMs).To(BeNumerically("~", 250, 2))
 		Expect(second.AfterMs).To(BeNumerically("~", 500, 2))
 	})
 
 	It("are permitted by a leaving instance only if there is no other", func() {
-		ask := throttle.Ask{Life: "e", Wanted: 1, PerSecond: 8, AgeMs: 100}
+		ask := throttle.PermitRequest{Life: "e", Wanted: 1, PerSecond: 8, AgeMs: 100}
 		peers.leaves, peers.live = true, near[2:]
 		keeper.Look()
 		clock.Advance(time.Minute)
-		Expect(keeper.Answer(ask).Granted).To(BeZero())
+		Expect(keeper.HandleRequest(ask).Granted).To(BeZero())
 		peers.live = nil
 		keeper.Look()
-		keeper.Answer(ask)
+		keeper.HandleRequest(ask)
 		clock.Advance(time.Minute)
-		Expect(keeper.Answer(ask).Granted).To(Equal(1))
+		Expect(keeper.HandleRequest(ask).Granted).To(Equal(1))
 	})
 
 	It("are limited to the visible share of the recently live instances", func() {
--- a/pkg/throttle/model_test.go
+++ b/pkg/throttle/model_test.go
@@ -115,13 +115,13 @@
 }
 
 // RequestPermits implements throttle.Peers.
-func (i *modelInstance) Ask(_ context.Context, to throttle.Peer, ask throttle.Ask) (throttle.Grant, error) {
+func (i *modelInstance) RequestPermits(_ context.Context, to throttle.Peer, ask throttle.PermitRequest) (throttle.PermitGrant, error) {
 	for _, other := range i.model.instances {
 		if other.Name == to.Name && !other.dead && other.side == i.side {
-			return other.keeper.Answer(ask), nil
+			return other.keeper.HandleRequest(ask), nil
 		}
 	}
-	return throttle.Grant{}, errors.New("cut off")
+	return throttle.PermitGrant{}, errors.New("cut off")
 }
 
 // partition distributes the failure domains over the given number of sides; 1 heals the partition.
--- a/pkg/throttle/requesting.go
+++ b/pkg/throttle/requesting.go
@@ -45,18 +45,18 @@
 		return
 	}
 	e.requesting = true
-	request := Ask{Life: id, Wanted: e.size(perSecond), PerSecond: perSecond, AgeMs: k.table.age(id).Milliseconds()}
+	request := PermitRequest{Life: id, Wanted: e.size(perSecond), PerSecond: perSecond, AgeMs: k.table.age(id).Milliseconds()}
 	k.start(func() { k.fetch(now, e, request) })
 }
 
 // fetch requests permits from the grantor and stores those granted.
-func (k *Keeper) fetch(requestedAt time.Time, e *endpoint, request Ask) {
+func (k *Keeper) fetch(requestedAt time.Time, e *endpoint, request PermitRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	k.mu.Lock()
 	grantor := e.grantor
 	k.mu.Unlock()
-	grant, err := k.peers.Ask(ctx, grantor, request)
+	grant, err := k.peers.RequestPermits(ctx, grantor, request)
 	if grant.Lifted {
 		k.table.Merge([]Limit{{Life: request.Life, Age: time.Duration(grant.AgeMs) * time.Millisecond}})
 	}
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -44,7 +44,7 @@
 // Permitting grants calls to endpoints that name a limit for all instances.
 type Permitting interface {
 	// Answer answers the question of an instance.
-	Answer(a throttle.Ask) throttle.Grant
+	HandleRequest(a throttle.PermitRequest) throttle.PermitGrant
 }
 
 // NewHandler returns a handler that has stages made as a router says.
@@ -126,11 +126,11 @@
 		}
 		return h.rollouts.Answer(call), nil
 	case api.MethodPermits:
-		call, err := peers.Params[throttle.Ask](method, raw)
+		call, err := peers.Params[throttle.PermitRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
-		return h.permits.Answer(call), nil
+		return h.permits.HandleRequest(call), nil
 	case api.MethodState:
 		call, err := peers.Params[api.StateSelect](method, raw)
 		if err != nil {
--- a/service/handover/permits.go
+++ b/service/handover/permits.go
@@ -47,8 +47,8 @@
 func (p *Permits) Leaving() []throttle.Peer { return throttlePeers(p.Departing()) }
 
 // Ask implements throttle.Peers.
-func (p *Permits) Ask(ctx context.Context, to throttle.Peer, ask throttle.Ask) (throttle.Grant, error) {
-	var grant throttle.Grant
+func (p *Permits) RequestPermits(ctx context.Context, to throttle.Peer, ask throttle.PermitRequest) (throttle.PermitGrant, error) {
+	var grant throttle.PermitGrant
 	err := p.Client.Call(ctx, to.Address, api.MethodPermits, ask, &grant)
 	return grant, err
 }
