--- a/pkg/throttle/granting.go
+++ b/pkg/throttle/granting.go
@@ -11,15 +11,15 @@
 
 // HandleRequest answers a permit request of another instance.
 func (k *Keeper) HandleRequest(a PermitRequest) PermitGrant {
-	k.table.Merge([]Limit{{Life: a.Life, Limited: true, PerSecond: a.PerSecond, Age: time.Duration(a.AgeMs) * time.Millisecond}})
-	perSecond, limited := k.table.PerSecond(a.Life)
+	k.table.Merge([]Limit{{EndpointID: a.EndpointID, Limited: true, PerSecond: a.PerSecond, Age: time.Duration(a.AgeMs) * time.Millisecond}})
+	perSecond, limited := k.table.PerSecond(a.EndpointID)
 	if !limited {
-		return PermitGrant{Lifted: true, AgeMs: k.table.age(a.Life).Milliseconds()}
+		return PermitGrant{Lifted: true, AgeMs: k.table.age(a.EndpointID).Milliseconds()}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.clock.Now()
-	e := k.endpoint(now, a.Life)
+	e := k.endpoint(now, a.EndpointID)
 	if !e.own {
 		return PermitGrant{AfterMs: requestTimeout.Milliseconds()}
 	}
--- a/pkg/throttle/limit.go
+++ b/pkg/throttle/limit.go
@@ -5,7 +5,7 @@
 // Limit is the most recent rate limit of an endpoint, as exchanged between instances.
 type Limit struct {
 	// EndpointID identifies one incarnation of the endpoint.
-	Life string
+	EndpointID string
 	// Limited reports whether the endpoint accepts at most PerSecond requests per second from all
 	// instances together. If false, its limit was lifted.
 	Limited   bool
@@ -16,8 +16,8 @@
 
 // PermitRequest asks the grantor of an endpoint for permits.
 type PermitRequest struct {
-	Life   string `json:"life"`
-	Wanted int    `json:"wanted"`
+	EndpointID string `json:"life"`
+	Wanted     int    `json:"wanted"`
 	// PerSecond is the limit known to the sender, reported AgeMs ago. The grantor may not know it
 	// yet.
 	PerSecond float64 `json:"per_second"`
--- a/pkg/throttle/limiter_test.go
+++ b/pkg/throttle/limiter_test.go
@@ -133,7 +133,7 @@
 	})
 
 	It("are not permitted by other instances than the grantor, nor for a lifted limit", func() {
-		ask := throttle.PermitRequest{Life: "e", Wanted: 1, PerSecond: 8, AgeMs: 100}
+		ask := throttle.PermitRequest{EndpointID: "e", Wanted: 1, PerSecond: 8, AgeMs: 100}
 		peers.live = near
 		keeper.Look()
 		clock.Advance(time.Minute)
@@ -143,7 +143,7 @@
 	})
 
 	It("are permitted on request, and refused callers get consecutive times to come back", func() {
-		ask := throttle.PermitRequest{Life: "e", Wanted: 5, PerSecond: 4, AgeMs: 100}
+		ask := throttle.PermitRequest{EndpointID: "e", Wanted: 5, PerSecond: 4, AgeMs: 100}
 		keeper.Look()
 		keeper.HandleRequest(ask)
 		clock.Advance(time.Minute)
@@ -155,7 +155,7 @@
 	})
 
 	It("are permitted by a leaving instance only if there is no other", func() {
-		ask := throttle.PermitRequest{Life: "e", Wanted: 1, PerSecond: 8, AgeMs: 100}
+		ask := throttle.PermitRequest{EndpointID: "e", Wanted: 1, PerSecond: 8, AgeMs: 100}
 		peers.leaves, peers.live = true, near[2:]
 		keeper.Look()
 		clock.Advance(time.Minute)
--- a/pkg/throttle/requesting.go
+++ b/pkg/throttle/requesting.go
@@ -45,7 +45,7 @@
 		return
 	}
 	e.requesting = true
-	request := PermitRequest{Life: id, Wanted: e.size(perSecond), PerSecond: perSecond, AgeMs: k.table.age(id).Milliseconds()}
+	request := PermitRequest{EndpointID: id, Wanted: e.size(perSecond), PerSecond: perSecond, AgeMs: k.table.age(id).Milliseconds()}
 	k.start(func() { k.fetch(now, e, request) })
 }
 
@@ -58,7 +58,7 @@
 	k.mu.Unlock()
 	grant, err := k.peers.RequestPermits(ctx, grantor, request)
 	if grant.Lifted {
-		k.table.Merge([]Limit{{Life: request.Life, Age: time.Duration(grant.AgeMs) * time.Millisecond}})
+		k.table.Merge([]Limit{{EndpointID: request.EndpointID, Age: time.Duration(grant.AgeMs) * time.Millisecond}})
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -67,7 +67,7 @@
 	switch {
 	case err != nil:
 		e.nextRequest = now.Add(maxRetryDelay)
-		k.log.WithFields(logrus.Fields{"event": "permits_not_asked", "endpoint": request.Life, "instance": grantor.Name}).Info(err)
+		k.log.WithFields(logrus.Fields{"event": "permits_not_asked", "endpoint": request.EndpointID, "instance": grantor.Name}).Info(err)
 	case grant.Granted == 0:
 		after := time.Duration(grant.AfterMs) * time.Millisecond
 		e.nextRequest = now.Add(max(minRetryDelay, min(maxRetryDelay, after)))
--- a/pkg/throttle/table.go
+++ b/pkg/throttle/table.go
@@ -107,7 +107,7 @@
 	for i := range n {
 		id := ids[(t.next+i)%len(ids)]
 		s := t.entries[id]
-		limits = append(limits, Limit{Life: id, Limited: s.limited, PerSecond: s.perSecond, Age: t.clock.Since(s.reportedAt) + transitMargin})
+		limits = append(limits, Limit{EndpointID: id, Limited: s.limited, PerSecond: s.perSecond, Age: t.clock.Since(s.reportedAt) + transitMargin})
 	}
 	t.next = (t.next + n) % len(ids)
 	return limits
@@ -117,7 +117,7 @@
 func (t *Table) Merge(limits []Limit) {
 	now := t.clock.Now()
 	for _, l := range limits {
-		t.mergeEntry(l.Life, entry{limited: l.Limited, perSecond: l.PerSecond, reportedAt: now.Add(-l.Age)})
+		t.mergeEntry(l.EndpointID, entry{limited: l.Limited, perSecond: l.PerSecond, reportedAt: now.Add(-l.Age)})
 	}
 }
 
--- a/pkg/throttle/table_test.go
+++ b/pkg/throttle/table_test.go
@@ -48,9 +48,9 @@
 	It("merges only entries that are newer", func() {
 		table.Set("a", 2)
 		clock.Advance(5 * time.Second)
-		table.Merge([]throttle.Limit{{Life: "a", Age: 6 * time.Second}})
+		table.Merge([]throttle.Limit{{EndpointID: "a", Age: 6 * time.Second}})
 		Expect(table.Count()).To(Equal(1), "the local entry is newer")
-		table.Merge([]throttle.Limit{{Life: "a", Age: 4 * time.Second}, {Life: "b", Limited: true, PerSecond: 3, Age: time.Second}, {Life: "c", Age: time.Second}})
+		table.Merge([]throttle.Limit{{EndpointID: "a", Age: 4 * time.Second}, {EndpointID: "b", Limited: true, PerSecond: 3, Age: time.Second}, {EndpointID: "c", Age: time.Second}})
 		Expect(table.List()).To(Equal(map[string]float64{"b": 3}))
 	})
 
@@ -76,7 +76,7 @@
 		told := map[string]bool{}
 		for range 3 {
 			for _, l := range table.Gossip(2) {
-				told[l.Life] = true
+				told[l.EndpointID] = true
 			}
 		}
 		Expect(told).To(HaveLen(5))
--- a/service/peers/datagram.go
+++ b/service/peers/datagram.go
@@ -183,13 +183,13 @@
 }
 
 func encodeLimit(l throttle.Limit) *pb.EndpointLimit {
-	return &pb.EndpointLimit{Life: l.Life, Limited: l.Limited, PerSecond: float32(l.PerSecond), AgeMs: ageMs(l.Age)}
+	return &pb.EndpointLimit{Life: l.EndpointID, Limited: l.Limited, PerSecond: float32(l.PerSecond), AgeMs: ageMs(l.Age)}
 }
 
 // decodeLimit tells whether the limit names an endpoint, and is one.
 func decodeLimit(wire *pb.EndpointLimit) (throttle.Limit, bool) {
-	l := throttle.Limit{Life: wire.GetLife(), Limited: wire.GetLimited(), PerSecond: float64(wire.GetPerSecond()), Age: age(wire.GetAgeMs())}
-	return l, l.Life != "" && l.PerSecond >= 0 && !math.IsInf(l.PerSecond, 0)
+	l := throttle.Limit{EndpointID: wire.GetLife(), Limited: wire.GetLimited(), PerSecond: float64(wire.GetPerSecond()), Age: age(wire.GetAgeMs())}
+	return l, l.EndpointID != "" && l.PerSecond >= 0 && !math.IsInf(l.PerSecond, 0)
 }
 
 func ageMs(age time.Duration) uint64 { return uint64(max(0, age.Milliseconds())) }
--- a/service/peers/limits_test.go
+++ b/service/peers/limits_test.go
@@ -16,7 +16,7 @@
 func someLimits(n int) []throttle.Limit {
 	var limits []throttle.Limit
 	for i := range n {
-		limits = append(limits, throttle.Limit{Life: fmt.Sprintf("i-0123456%03x@1796270000%03d", i, i), Limited: i%2 == 0, PerSecond: float64(i) / 4, Age: 1500 * time.Millisecond})
+		limits = append(limits, throttle.Limit{EndpointID: fmt.Sprintf("i-0123456%03x@1796270000%03d", i, i), Limited: i%2 == 0, PerSecond: float64(i) / 4, Age: 1500 * time.Millisecond})
 	}
 	return limits
 }
