--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -93,7 +93,7 @@
 	// limited has the limits that endpoints name for all instances.
 	limited *throttle.Table
 	// permits have all instances together heed them.
-	permits *throttle.Keeper
+	permits *throttle.Limiter
 	// unread counts the rests and limits in words that can't be read.
 	unread *metrics.Counter
 	// unknownTerms are the terms of answers that were told once.
@@ -224,7 +224,7 @@
 	g.unread = g.metrics.NewCounter("cobaltcroft_notices_unread_total")
 	g.limited = throttle.NewTable(g.clock, g.logs.For("throttle"))
 	granting := &handover.Permits{Client: g.client, Instance: self, Stopping: g.stopping.begun, Members: g.group.Live, Departing: g.group.Leaving}
-	g.permits = throttle.NewKeeper(g.limited, granting, g.domainOf, g.clock, g.logs.For("throttle"))
+	g.permits = throttle.NewLimiter(g.limited, granting, g.domainOf, g.clock, g.logs.For("throttle"))
 	g.rests = notice.NewRests(g.clock, g.permits, g.logs.For("notice"))
 	g.metrics.NewGauge("cobaltcroft_endpoints_limited", func() float64 { return float64(g.limited.Count()) })
 	g.conns = httpconn.NewPool(g.clock, g.metrics, httpconn.Gates{Connect: g.mayConnect, Send: g.maySend, Spend: g.spend}, g.heardAnswer)
@@ -395,7 +395,7 @@
 	g.quarantine.Sweep()
 	g.rests.Sweep()
 	g.limited.Sweep(exists)
-	g.permits.Look()
+	g.permits.UpdateMembers()
 	g.router.Look()
 	g.tellUsage(g.clock.Now())
 }
--- a/pkg/throttle/export_test.go
+++ b/pkg/throttle/export_test.go
@@ -1,8 +1,8 @@
 package throttle
 
 // SetHooks replaces how requests are started and the source of random numbers.
-func (k *Keeper) SetHooks(start func(func()), random func() float64) {
-	k.start, k.random = start, random
+func (l *Limiter) SetHooks(start func(func()), random func() float64) {
+	l.start, l.random = start, random
 }
 
 // Constants for the tests.
--- a/pkg/throttle/granting.go
+++ b/pkg/throttle/granting.go
@@ -10,20 +10,20 @@
 )
 
 // HandleRequest answers a permit request of another instance.
-func (k *Keeper) HandleRequest(a PermitRequest) PermitGrant {
-	k.table.Merge([]Limit{{EndpointID: a.EndpointID, Limited: true, PerSecond: a.PerSecond, Age: time.Duration(a.AgeMs) * time.Millisecond}})
-	perSecond, limited := k.table.PerSecond(a.EndpointID)
+func (l *Limiter) HandleRequest(a PermitRequest) PermitGrant {
+	l.table.Merge([]Limit{{EndpointID: a.EndpointID, Limited: true, PerSecond: a.PerSecond, Age: time.Duration(a.AgeMs) * time.Millisecond}})
+	perSecond, limited := l.table.PerSecond(a.EndpointID)
 	if !limited {
-		return PermitGrant{Lifted: true, AgeMs: k.table.age(a.EndpointID).Milliseconds()}
+		return PermitGrant{Lifted: true, AgeMs: l.table.age(a.EndpointID).Milliseconds()}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.clock.Now()
-	e := k.endpoint(now, a.EndpointID)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.clock.Now()
+	e := l.endpoint(now, a.EndpointID)
 	if !e.own {
 		return PermitGrant{AfterMs: requestTimeout.Milliseconds()}
 	}
-	rate := k.rate(perSecond)
+	rate := l.rate(perSecond)
 	if granted := e.bucket.take(now, rate, max(0, min(a.Wanted, maxRequest(perSecond)))); granted > 0 {
 		return PermitGrant{Granted: granted}
 	}
@@ -38,7 +38,7 @@
 
 // rate is the part of a limit that this instance grants, in calls per second: the share of the
 // instances that it can see.
-func (k *Keeper) rate(perSecond float64) float64 { return max(minPerSecond, perSecond) * k.share }
+func (l *Limiter) rate(perSecond float64) float64 { return max(minPerSecond, perSecond) * l.share }
 
 // maxRequest bounds the size of a single permit request.
 func maxRequest(perSecond float64) int { return max(1, int(math.Ceil(maxRequestSeconds*perSecond))) }
--- a/pkg/throttle/limiter.go
+++ b/pkg/throttle/limiter.go
@@ -33,7 +33,7 @@
 // domain. The others request small numbers of permits that expire soon. A grantor only grants the
 // share of the limit that corresponds to the instances it can see. Limiter is safe for concurrent
 // use.
-type Keeper struct {
+type Limiter struct {
 	table *Table
 	peers Peers
 	// domainOf returns the failure domain of an endpoint, or an empty string if unknown.
@@ -76,8 +76,8 @@
 
 // NewLimiter returns a limiter for the limits of a table. UpdateMembers must be called once per
 // second.
-func NewKeeper(table *Table, peers Peers, domainOf func(id string) string, clock clockwork.Clock, log *logrus.Entry) *Keeper {
-	return &Keeper{
+func NewLimiter(table *Table, peers Peers, domainOf func(id string) string, clock clockwork.Clock, log *logrus.Entry) *Limiter {
+	return &Limiter{
 		table: table, peers: peers, domainOf: domainOf, clock: clock, log: log, settledAt: clock.Now().Add(settleTime),
 		start: func(ask func()) { go ask() }, random: rand.Float64,
 		share: 1, candidates: []Peer{peers.Self()}, endpoints: map[string]*endpoint{},
@@ -85,16 +85,16 @@
 }
 
 // UpdateMembers refreshes the view of the members.
-func (k *Keeper) Look() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.clock.Now()
-	live := k.peers.Live()
-	k.share = k.members.update(now, live, k.peers.Leaving())
-	k.candidates = k.eligibleGrantors(now, live)
-	for id, e := range k.endpoints {
-		if _, limited := k.table.PerSecond(id); !limited {
-			delete(k.endpoints, id)
+func (l *Limiter) UpdateMembers() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.clock.Now()
+	live := l.peers.Live()
+	l.share = l.members.update(now, live, l.peers.Leaving())
+	l.candidates = l.eligibleGrantors(now, live)
+	for id, e := range l.endpoints {
+		if _, limited := l.table.PerSecond(id); !limited {
+			delete(l.endpoints, id)
 			continue
 		}
 		e.resolved = false
@@ -103,57 +103,57 @@
 
 // eligibleGrantors returns the instances that have been live long enough to know all members and
 // are not leaving, or all instances if there are none.
-func (k *Keeper) eligibleGrantors(now time.Time, live []Peer) []Peer {
-	settled := slices.DeleteFunc(slices.Clone(live), func(p Peer) bool { return !k.members.settled(now, k.settledAt, p) })
+func (l *Limiter) eligibleGrantors(now time.Time, live []Peer) []Peer {
+	settled := slices.DeleteFunc(slices.Clone(live), func(p Peer) bool { return !l.members.settled(now, l.settledAt, p) })
 	// The other instances choose another grantor as soon as they learn that this one is leaving.
-	if !k.peers.SelfLeaving() && !now.Before(k.settledAt) {
-		settled = append(settled, k.peers.Self())
+	if !l.peers.SelfLeaving() && !now.Before(l.settledAt) {
+		settled = append(settled, l.peers.Self())
 	}
 	if len(settled) == 0 {
-		return append(slices.Clone(live), k.peers.Self())
+		return append(slices.Clone(live), l.peers.Self())
 	}
 	return settled
 }
 
 // Any reports whether any limit is in force.
-func (k *Keeper) Any() bool { return k.table.Count() > 0 }
+func (l *Limiter) Any() bool { return l.table.Count() > 0 }
 
 // Delay is the time until this instance may call an endpoint, as far as it knows; 0 if it may call
 // now. If another instance grants the permits, Delay requests some in the background.
-func (k *Keeper) Left(id string) time.Duration {
-	perSecond, limited := k.table.PerSecond(id)
+func (l *Limiter) Left(id string) time.Duration {
+	perSecond, limited := l.table.PerSecond(id)
 	if !limited {
 		return 0
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.clock.Now()
-	e := k.endpoint(now, id)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.clock.Now()
+	e := l.endpoint(now, id)
 	if e.own {
-		return e.bucket.wait(now, k.rate(perSecond))
+		return e.bucket.wait(now, l.rate(perSecond))
 	}
 	e.dropExpired(now)
 	if len(e.permits) > 0 {
 		return 0
 	}
 	if !e.requesting && !now.Before(e.nextRequest) {
-		k.request(now, id, e, perSecond)
+		l.request(now, id, e, perSecond)
 	}
 	return max(requestTime, e.nextRequest.Sub(now))
 }
 
 // Allow reports whether a call to an endpoint may start, and counts it.
-func (k *Keeper) Spend(id string) bool {
-	perSecond, limited := k.table.PerSecond(id)
+func (l *Limiter) Spend(id string) bool {
+	perSecond, limited := l.table.PerSecond(id)
 	if !limited {
 		return true
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.clock.Now()
-	e := k.endpoint(now, id)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.clock.Now()
+	e := l.endpoint(now, id)
 	if e.own {
-		return e.bucket.take(now, k.rate(perSecond), 1) == 1
+		return e.bucket.take(now, l.rate(perSecond), 1) == 1
 	}
 	e.dropExpired(now)
 	if len(e.permits) == 0 {
@@ -165,20 +165,20 @@
 }
 
 // endpoint returns the permit state of an endpoint after resolving its grantor.
-func (k *Keeper) endpoint(now time.Time, id string) *endpoint {
-	e := k.endpoints[id]
+func (l *Limiter) endpoint(now time.Time, id string) *endpoint {
+	e := l.endpoints[id]
 	if e == nil {
 		e = &endpoint{}
-		k.endpoints[id] = e
+		l.endpoints[id] = e
 	}
 	if e.resolved {
 		return e
 	}
-	self := k.peers.Self()
-	grantor := chooseGrantor(k.candidates, id, k.domainOf(id))
+	self := l.peers.Self()
+	grantor := chooseGrantor(l.candidates, id, l.domainOf(id))
 	own := grantor.Name == self.Name
 	if own && !e.own {
-		e.bucket = bucket{at: later(now, k.settledAt).Add(permitTTL)}
+		e.bucket = bucket{at: later(now, l.settledAt).Add(permitTTL)}
 	}
 	e.grantor, e.own, e.resolved = grantor, own, true
 	return e
--- a/pkg/throttle/limiter_test.go
+++ b/pkg/throttle/limiter_test.go
@@ -34,10 +34,10 @@
 
 var _ = Describe("calls to a rate-limited endpoint", func() {
 	var (
-		clock  *clockwork.FakeClock
-		table  *throttle.Table
-		peers  *fakePeers
-		keeper *throttle.Keeper
+		clock   *clockwork.FakeClock
+		table   *throttle.Table
+		peers   *fakePeers
+		limiter *throttle.Limiter
 	)
 	near := []throttle.Peer{{Name: "a", FailureDomain: "near"}, {Name: "b", FailureDomain: "near"}, {Name: "c", FailureDomain: "far"}}
 
@@ -45,10 +45,10 @@
 		clock = clockwork.NewFakeClock()
 		table = throttle.NewTable(clock, logging.Discard().For("throttle"))
 		peers = &fakePeers{}
-		keeper = throttle.NewKeeper(table, peers, func(string) string { return "near" }, clock, logging.Discard().For("throttle"))
+		limiter = throttle.NewLimiter(table, peers, func(string) string { return "near" }, clock, logging.Discard().For("throttle"))
 		// Requests are queued and answered by answerRequests.
 		var pending []func()
-		keeper.SetHooks(func(ask func()) { pending = append(pending, ask) }, func() float64 { return 0 })
+		limiter.SetHooks(func(ask func()) { pending = append(pending, ask) }, func() float64 { return 0 })
 		answerRequests = func() {
 			for _, ask := range pending {
 				ask()
@@ -58,97 +58,97 @@
 	})
 
 	It("are not held up without a limit", func() {
-		Expect(keeper.Left("e")).To(BeZero())
-		Expect(keeper.Spend("e")).To(BeTrue())
-		Expect(keeper.Any()).To(BeFalse())
+		Expect(limiter.Left("e")).To(BeZero())
+		Expect(limiter.Spend("e")).To(BeTrue())
+		Expect(limiter.Any()).To(BeFalse())
 	})
 
 	It("are permitted by a single instance only after it has settled", func() {
-		keeper.Look()
+		limiter.UpdateMembers()
 		table.Set("e", 1)
-		Expect(keeper.Spend("e")).To(BeFalse())
-		Expect(keeper.Left("e")).To(Equal(throttle.SettleTime + throttle.PermitTTL + time.Second))
+		Expect(limiter.Spend("e")).To(BeFalse())
+		Expect(limiter.Left("e")).To(Equal(throttle.SettleTime + throttle.PermitTTL + time.Second))
 		clock.Advance(throttle.SettleTime + throttle.PermitTTL + time.Second)
-		Expect(keeper.Left("e")).To(BeZero())
-		Expect(keeper.Spend("e")).To(BeTrue())
-		Expect(keeper.Spend("e")).To(BeFalse())
+		Expect(limiter.Left("e")).To(BeZero())
+		Expect(limiter.Spend("e")).To(BeTrue())
+		Expect(limiter.Spend("e")).To(BeFalse())
 		clock.Advance(time.Hour)
-		Expect(keeper.Spend("e")).To(BeTrue())
-		Expect(keeper.Spend("e")).To(BeFalse(), "unused capacity does not accumulate")
+		Expect(limiter.Spend("e")).To(BeTrue())
+		Expect(limiter.Spend("e")).To(BeFalse(), "unused capacity does not accumulate")
 	})
 
 	It("use permits requested in the endpoint's failure domain, which expire", func() {
 		peers.live, peers.answer = near, throttle.PermitGrant{Granted: 1}
-		keeper.Look()
+		limiter.UpdateMembers()
 		table.Set("e", 8)
-		Expect(keeper.Left("e")).To(BeNumerically(">", 0))
+		Expect(limiter.Left("e")).To(BeNumerically(">", 0))
 		answerRequests()
 		Expect(peers.to).To(HaveLen(1))
 		Expect(peers.to[0].FailureDomain).To(Equal("near"))
-		Expect(keeper.Left("e")).To(BeZero())
-		Expect(keeper.Spend("e")).To(BeTrue())
-		Expect(keeper.Spend("e")).To(BeFalse())
+		Expect(limiter.Left("e")).To(BeZero())
+		Expect(limiter.Spend("e")).To(BeTrue())
+		Expect(limiter.Spend("e")).To(BeFalse())
 		By("requesting more after all were used")
-		Expect(keeper.Left("e")).To(BeNumerically(">", 0))
+		Expect(limiter.Left("e")).To(BeNumerically(">", 0))
 		answerRequests()
 		Expect(peers.asked[1].Wanted).To(Equal(2))
 		clock.Advance(throttle.PermitTTL)
-		Expect(keeper.Spend("e")).To(BeFalse())
+		Expect(limiter.Spend("e")).To(BeFalse())
 	})
 
 	It("request permits no earlier than the grantor suggested", func() {
 		peers.live, peers.answer = near, throttle.PermitGrant{AfterMs: 700}
-		keeper.Look()
+		limiter.UpdateMembers()
 		table.Set("e", 8)
-		keeper.Left("e")
+		limiter.Left("e")
 		answerRequests()
-		Expect(keeper.Left("e")).To(Equal(700 * time.Millisecond))
+		Expect(limiter.Left("e")).To(Equal(700 * time.Millisecond))
 		answerRequests()
 		Expect(peers.asked).To(HaveLen(1))
 		clock.Advance(700 * time.Millisecond)
-		keeper.Left("e")
+		limiter.Left("e")
 		answerRequests()
 		Expect(peers.asked).To(HaveLen(2))
 	})
 
 	It("are not permitted while the grantor is unreachable", func() {
 		peers.live, peers.err = near, errors.New("cut off")
-		keeper.Look()
+		limiter.UpdateMembers()
 		table.Set("e", 8)
-		keeper.Left("e")
+		limiter.Left("e")
 		answerRequests()
-		Expect(keeper.Left("e")).To(Equal(2 * time.Second))
-		Expect(keeper.Spend("e")).To(BeFalse())
+		Expect(limiter.Left("e")).To(Equal(2 * time.Second))
+		Expect(limiter.Spend("e")).To(BeFalse())
 	})
 
 	It("are permitted when the grantor reports that the limit was lifted", func() {
 		peers.live, peers.answer = near, throttle.PermitGrant{Lifted: true, AgeMs: 10}
-		keeper.Look()
+		limiter.UpdateMembers()
 		table.Set("e", 8)
 		clock.Advance(time.Second)
-		keeper.Left("e")
+		limiter.Left("e")
 		answerRequests()
-		Expect(keeper.Left("e")).To(BeZero())
-		Expect(keeper.Spend("e")).To(BeTrue())
+		Expect(limiter.Left("e")).To(BeZero())
+		Expect(limiter.Spend("e")).To(BeTrue())
 	})
 
 	It("are not permitted by other instances than the grantor, nor for a lifted limit", func() {
 		ask := throttle.PermitRequest{EndpointID: "e", Wanted: 1, PerSecond: 8, AgeMs: 100}
 		peers.live = near
-		keeper.Look()
+		limiter.UpdateMembers()
 		clock.Advance(time.Minute)
-		Expect(keeper.HandleRequest(ask)).To(Equal(throttle.PermitGrant{AfterMs: 500}))
+		Expect(limiter.HandleRequest(ask)).To(Equal(throttle.PermitGrant{AfterMs: 500}))
 		table.Clear("e")
-		Expect(keeper.HandleRequest(ask)).To(Equal(throttle.PermitGrant{Lifted: true}), "the grantor has the newer report")
+		Expect(limiter.HandleRequest(ask)).To(Equal(throttle.PermitGrant{Lifted: true}), "the grantor has the newer report")
 	})
 
 	It("are permitted on request, and refused callers get consecutive times to come back", func() {
 		ask := throttle.PermitRequest{EndpointID: "e", Wanted: 5, PerSecond: 4, AgeMs: 100}
-		keeper.Look()
-		keeper.HandleRequest(ask)
+		limiter.UpdateMembers()
+		limiter.HandleRequest(ask)
 		clock.Advance(time.Minute)
-		Expect(keeper.HandleRequest(ask).Granted).To(Equal(1))
-		first, second := keeper.HandleRequest(ask), keeper.HandleRequest(ask)
+		Expect(limiter.HandleRequest(ask).Granted).To(Equal(1))
+		first, second := limiter.HandleRequest(ask), limiter.HandleRequest(ask)
 		Expect(first.Granted).To(BeZero())
 		Expect(first.AfterMs).To(BeNumerically("~", 250, 2))
 		Expect(second.AfterMs).To(BeNumerically("~", 500, 2))
@@ -157,29 +157,29 @@
 	It("are permitted by a leaving instance only if there is no other", func() {
 		ask := throttle.PermitRequest{EndpointID: "e", Wanted: 1, PerSecond: 8, AgeMs: 100}
 		peers.leaves, peers.live = true, near[2:]
-		keeper.Look()
+		limiter.UpdateMembers()
 		clock.Advance(time.Minute)
-		Expect(keeper.HandleRequest(ask).Granted).To(BeZero())
+		Expect(limiter.HandleRequest(ask).Granted).To(BeZero())
 		peers.live = nil
-		keeper.Look()
-		keeper.HandleRequest(ask)
+		limiter.UpdateMembers()
+		limiter.HandleRequest(ask)
 		clock.Advance(time.Minute)
-		Expect(keeper.HandleRequest(ask).Granted).To(Equal(1))
+		Expect(limiter.HandleRequest(ask).Granted).To(Equal(1))
 	})
 
 	It("are limited to the visible share of the recently live instances", func() {
 		peers.live = []throttle.Peer{{Name: "c", FailureDomain: "far"}}
-		keeper.Look()
+		limiter.UpdateMembers()
 		peers.live = nil
-		keeper.Look()
+		limiter.UpdateMembers()
 		table.Set("e", 1)
-		keeper.Left("e")
+		limiter.Left("e")
 		clock.Advance(throttle.SettleTime + throttle.PermitTTL)
-		Expect(keeper.Left("e")).To(Equal(2*time.Second), "half of the limit")
+		Expect(limiter.Left("e")).To(Equal(2*time.Second), "half of the limit")
 		clock.Advance(3 * time.Hour)
-		keeper.Look()
-		Expect(keeper.Spend("e")).To(BeTrue())
-		Expect(keeper.Left("e")).To(Equal(time.Second), "the record of the other instance expired")
+		limiter.UpdateMembers()
+		Expect(limiter.Spend("e")).To(BeTrue())
+		Expect(limiter.Left("e")).To(Equal(time.Second), "the record of the other instance expired")
 	})
 })
 
--- a/pkg/throttle/model_test.go
+++ b/pkg/throttle/model_test.go
@@ -53,10 +53,10 @@
 type modelInstance struct {
 	model *model
 	throttle.Peer
-	table  *throttle.Table
-	keeper *throttle.Keeper
-	side   int
-	dead   bool
+	table   *throttle.Table
+	limiter *throttle.Limiter
+	side    int
+	dead    bool
 	// leaves reports that the instance announced its departure. It still sends requests.
 	leaves bool
 	// excused is until when requests are not counted after a restart.
@@ -82,8 +82,8 @@
 	instance.Incarnation++
 	instance.excused = m.clock.Now().Add(grace)
 	instance.table = throttle.NewTable(m.clock, logging.Discard().For("throttle"))
-	instance.keeper = throttle.NewKeeper(instance.table, instance, func(string) string { return "0" }, m.clock, logging.Discard().For("throttle"))
-	instance.keeper.SetHooks(func(ask func()) {
+	instance.limiter = throttle.NewLimiter(instance.table, instance, func(string) string { return "0" }, m.clock, logging.Discard().For("throttle"))
+	instance.limiter.SetHooks(func(ask func()) {
 		late := time.Duration(m.random.IntN(40)) * time.Millisecond
 		m.pending = append(m.pending, pendingRequest{at: m.clock.Now().Add(late), run: ask})
 	}, m.random.Float64)
@@ -118,7 +118,7 @@
 func (i *modelInstance) RequestPermits(_ context.Context, to throttle.Peer, ask throttle.PermitRequest) (throttle.PermitGrant, error) {
 	for _, other := range i.model.instances {
 		if other.Name == to.Name && !other.dead && other.side == i.side {
-			return other.keeper.HandleRequest(ask), nil
+			return other.limiter.HandleRequest(ask), nil
 		}
 	}
 	return throttle.PermitGrant{}, errors.New("cut off")
@@ -176,7 +176,7 @@
 
 // heartbeat updates the members of an instance and sends its limits to the others.
 func (m *model) heartbeat(i *modelInstance) {
-	i.keeper.Look()
+	i.limiter.UpdateMembers()
 	limits := i.table.Gossip(8)
 	for _, other := range m.instances {
 		if other != i && !other.dead && other.side == i.side && m.random.Float64() > 0.02 {
@@ -188,7 +188,7 @@
 
 // send sends a request if permitted, and applies the reported limit.
 func (m *model) send(i *modelInstance) {
-	if i.keeper.Left("e") > 0 || !i.keeper.Spend("e") {
+	if i.limiter.Left("e") > 0 || !i.limiter.Spend("e") {
 		return
 	}
 	if now := m.clock.Now(); !now.Before(i.excused) {
--- a/pkg/throttle/requesting.go
+++ b/pkg/throttle/requesting.go
@@ -39,35 +39,35 @@
 
 // request starts a permit request to the grantor unless this instance is not in the random subset
 // that may send one.
-func (k *Keeper) request(now time.Time, id string, e *endpoint, perSecond float64) {
-	if k.random()*float64(len(k.candidates)) > requestsPerPermit*max(minPerSecond, perSecond) {
+func (l *Limiter) request(now time.Time, id string, e *endpoint, perSecond float64) {
+	if l.random()*float64(len(l.candidates)) > requestsPerPermit*max(minPerSecond, perSecond) {
 		e.nextRequest = now.Add(time.Second)
 		return
 	}
 	e.requesting = true
-	request := PermitRequest{EndpointID: id, Wanted: e.size(perSecond), PerSecond: perSecond, AgeMs: k.table.age(id).Milliseconds()}
-	k.start(func() { k.fetch(now, e, request) })
+	request := PermitRequest{EndpointID: id, Wanted: e.size(perSecond), PerSecond: perSecond, AgeMs: l.table.age(id).Milliseconds()}
+	l.start(func() { l.fetch(now, e, request) })
 }
 
 // fetch requests permits from the grantor and stores those granted.
-func (k *Keeper) fetch(requestedAt time.Time, e *endpoint, request PermitRequest) {
+func (l *Limiter) fetch(requestedAt time.Time, e *endpoint, request PermitRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	k.mu.Lock()
+	l.mu.Lock()
 	grantor := e.grantor
-	k.mu.Unlock()
-	grant, err := k.peers.RequestPermits(ctx, grantor, request)
+	l.mu.Unlock()
+	grant, err := l.peers.RequestPermits(ctx, grantor, request)
 	if grant.Lifted {
-		k.table.Merge([]Limit{{EndpointID: request.EndpointID, Age: time.Duration(grant.AgeMs) * time.Millisecond}})
+		l.table.Merge([]Limit{{EndpointID: request.EndpointID, Age: time.Duration(grant.AgeMs) * time.Millisecond}})
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.clock.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.clock.Now()
 	e.requesting = false
 	switch {
 	case err != nil:
 		e.nextRequest = now.Add(maxRetryDelay)
-		k.log.WithFields(logrus.Fields{"event": "permits_not_asked", "endpoint": request.EndpointID, "instance": grantor.Name}).Info(err)
+		l.log.WithFields(logrus.Fields{"event": "permits_not_asked", "endpoint": request.EndpointID, "instance": grantor.Name}).Info(err)
 	case grant.Granted == 0:
 		after := time.Duration(grant.AfterMs) * time.Millisecond
 		e.nextRequest = now.Add(max(minRetryDelay, min(maxRetryDelay, after)))
