--- a/cmd/cobaltcroftd/gateway/notices.go
+++ b/cmd/cobaltcroftd/gateway/notices.go
@@ -27,7 +27,7 @@
 
 // spend counts a call to an endpoint that takes only so much from all instances together.
 func (g *Gateway) spend(target httpconn.Target) error {
-	if g.permits.Spend(target.ID) {
+	if g.permits.Allow(target.ID) {
 		return nil
 	}
 	return problem.New(problem.Overloaded, "use another endpoint", "endpoint %s takes only so much from all instances together, and another call was faster", target.ID)
--- a/pkg/notice/rests.go
+++ b/pkg/notice/rests.go
@@ -18,7 +18,7 @@
 	// Any tells whether any limit holds.
 	Any() bool
 	// Left is how long it takes until this machine may next call an endpoint's life; 0: it may now.
-	Left(life string) time.Duration
+	Delay(life string) time.Duration
 }
 
 // Unlimited are no limits.
@@ -28,7 +28,7 @@
 func (Unlimited) Any() bool { return false }
 
 // Left implements Limits.
-func (Unlimited) Left(string) time.Duration { return 0 }
+func (Unlimited) Delay(string) time.Duration { return 0 }
 
 // Rests are the rests that endpoints want from this machine: those that they asked it for, and those until it may call them
 // again by a limit for all. An endpoint that is called sooner turns the call away, and the request loses a try. What an
@@ -65,7 +65,7 @@
 
 // Left is how much longer an endpoint's life wants rest; 0: it wants none.
 func (r *Rests) Left(endpoint string) time.Duration {
-	return max(r.asked(endpoint), r.limits.Left(endpoint))
+	return max(r.asked(endpoint), r.limits.Delay(endpoint))
 }
 
 // asked is how much longer an endpoint's life wants the rest that it asked this machine for.
@@ -105,7 +105,7 @@
 
 // Limited tells whether limits for all keep this machine from calling any of several endpoints now.
 func (r *Rests) Limited(endpoints []fleet.Endpoint) bool {
-	return r.limits.Any() && slices.ContainsFunc(endpoints, func(e fleet.Endpoint) bool { return r.limits.Left(e.ID) > 0 })
+	return r.limits.Any() && slices.ContainsFunc(endpoints, func(e fleet.Endpoint) bool { return r.limits.Delay(e.ID) > 0 })
 }
 
 // Return is when a caller may come back whom all endpoints' rests have turned away: when one of them, drawn at
--- a/pkg/notice/rests_test.go
+++ b/pkg/notice/rests_test.go
@@ -23,7 +23,7 @@
 
 func (h held) Any() bool { return len(h) > 0 }
 
-func (h held) Left(life string) time.Duration { return h[life] }
+func (h held) Delay(life string) time.Duration { return h[life] }
 
 var _ = Describe("rests that endpoints want", func() {
 	var (
--- a/pkg/throttle/limiter.go
+++ b/pkg/throttle/limiter.go
@@ -120,7 +120,7 @@
 
 // Delay is the time until this instance may call an endpoint, as far as it knows; 0 if it may call
 // now. If another instance grants the permits, Delay requests some in the background.
-func (l *Limiter) Left(id string) time.Duration {
+func (l *Limiter) Delay(id string) time.Duration {
 	perSecond, limited := l.table.PerSecond(id)
 	if !limited {
 		return 0
@@ -143,7 +143,7 @@
 }
 
 // Allow reports whether a call to an endpoint may start, and counts it.
-func (l *Limiter) Spend(id string) bool {
+func (l *Limiter) Allow(id string) bool {
 	perSecond, limited := l.table.PerSecond(id)
 	if !limited {
 		return true
--- a/pkg/throttle/model_test.go
+++ b/pkg/throttle/model_test.go
@@ -188,7 +188,7 @@
 
 // send sends a request if permitted, and applies the reported limit.
 func (m *model) send(i *modelInstance) {
-	if i.limiter.Left("e") > 0 || !i.limiter.Spend("e") {
+	if i.limiter.Delay("e") > 0 || !i.limiter.Allow("e") {
 		return
 	}
 	if now := m.clock.Now(); !now.Before(i.excused) {
