--- a/pkg/balance/balancer.go
+++ b/pkg/balance/balancer.go
@@ -121,6 +121,7 @@
 	cold      coldState
 }
 
+// New returns a balancer without observations.
 func New(clock clockwork.Clock, backoffs *notice.Rests) *Balancer {
 	return &Balancer{clock: clock, backoffs: backoffs, endpoints: map[string]*endpointState{}, silentUntil: map[string]time.Time{}}
 }
--- a/pkg/throttle/table.go
+++ b/pkg/throttle/table.go
@@ -36,6 +36,7 @@
 	reportedAt time.Time
 }
 
+// NewTable returns a table without limits.
 func NewTable(clock clockwork.Clock, log *logrus.Entry) *Table {
 	return &Table{clock: clock, log: log, entries: map[string]entry{}}
 }
