--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -1,4 +1,4 @@
-// Package retry bounds how often requests are sent again, over all instances together.
+// Package retry limits the retries to a service across all instances.
 package retry
 
 import (
@@ -9,22 +9,22 @@
 )
 
 const (
-	// buckets is into how many parts the window is cut.
+	// buckets is the number of buckets of the sliding window.
 	buckets = 20
-	// caution is the part of the budget that is used, so that instances which count
-	// each other wrongly stay within it together.
-	caution = 0.7
+	// safetyFactor is the fraction of the budget that is used, so that the total stays within the
+	// budget even if the instances disagree on their number.
+	safetyFactor = 0.7
 )
 
-// Bounds of a budget: in each window, a service may receive Ratio times its requests
-// and Slack more repeats, from all instances together.
+// Bounds limits the retries to a service. Within each window, all instances together may send
+// Ratio retries per request plus Slack.
 type Bounds struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Budget counts requests and repeats by service. Safe for concurrent use.
+// Budget counts requests and retries per service. It is safe for concurrent use.
 type Budget struct {
 	clock     clockwork.Clock
 	instances func() int
@@ -34,15 +34,15 @@
 	services map[string]*window
 }
 
-// window holds what happened in each part of the time that has passed.
+// window holds the counts of the sliding window; index 0 is the current bucket.
 type window struct {
 	start    time.Time
 	requests [buckets]float64
-	repeats  [buckets]float64
+	retries  [buckets]float64
 }
 
-// NewBudget returns a budget. The function instances returns how many instances there
-// are at most, this one included.
+// NewBudget returns a budget. The function instances returns an upper bound of the number of
+// instances, including this one.
 func NewBudget(clock clockwork.Clock, bounds Bounds, instances func() int) *Budget {
 	return &Budget{clock: clock, bounds: bounds, instances: instances, services: map[string]*window{}}
 }
@@ -54,34 +54,34 @@
 	b.bounds = bounds
 }
 
-// Count counts n first arrivals at a service.
+// AddRequests counts n first attempts at a service.
 func (b *Budget) Count(service string, n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.window(service).requests[0] += float64(n)
 }
 
-// Take counts n repeats in if they are within this instance's part, and tells whether
-// they are.
+// TryRetry reports whether n retries are within this instance's part of the budget, and counts
+// them if so.
 func (b *Budget) Take(service string, n int) bool {
 	instances := max(1, b.instances())
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
-	var requests, repeats float64
+	var requests, retries float64
 	for i := range buckets {
 		requests += w.requests[i]
-		repeats += w.repeats[i]
+		retries += w.retries[i]
 	}
-	allowed := caution * (b.bounds.Ratio*requests + b.bounds.Slack/float64(instances))
-	if repeats+float64(n) > allowed {
+	allowed := safetyFactor * (b.bounds.Ratio*requests + b.bounds.Slack/float64(instances))
+	if retries+float64(n) > allowed {
 		return false
 	}
-	w.repeats[0] += float64(n)
+	w.retries[0] += float64(n)
 	return true
 }
 
-// window returns the counts of a service, moved on to now.
+// window returns the window of a service, advanced to the current time.
 func (b *Budget) window(service string) *window {
 	now := b.clock.Now()
 	w := b.services[service]
@@ -89,18 +89,18 @@
 		w = &window{start: now}
 		b.services[service] = w
 	}
-	part := b.bounds.Window / buckets
-	passed := int(now.Sub(w.start) / part)
+	width := b.bounds.Window / buckets
+	passed := int(now.Sub(w.start) / width)
 	if passed <= 0 {
 		return w
 	}
 	shift := min(passed, buckets)
 	copy(w.requests[shift:], w.requests[:buckets-shift])
-	copy(w.repeats[shift:], w.repeats[:buckets-shift])
+	copy(w.retries[shift:], w.retries[:buckets-shift])
 	for i := range shift {
 		w.requests[i] = 0
-		w.repeats[i] = 0
+		w.retries[i] = 0
 	}
-	w.start = w.start.Add(time.Duration(passed) * part)
+	w.start = w.start.Add(time.Duration(passed) * width)
 	return w
 }
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -37,7 +37,7 @@
 		return taken
 	}
 
-	It("keeps all instances together within the bounds, in every window", func() {
+	It("holds for all instances together in every window", func() {
 		const instances = 5
 		var all []*retry.Budget
 		for range instances {
@@ -67,11 +67,11 @@
 		}
 	})
 
-	It("leaves an instance alone its own part", func() {
+	It("limits a single instance to its own part", func() {
 		Expect(take(budget(5), 100)).To(BeNumerically("<=", 10))
 	})
 
-	It("counts each service by itself, and forgets after the window", func() {
+	It("is kept per service and restored after the window", func() {
 		b := budget(1)
 		Expect(take(b, 1000)).To(BeNumerically(">", 0))
 		Expect(b.Take("s", 1)).To(BeFalse())
@@ -80,7 +80,7 @@
 		Expect(b.Take("s", 1)).To(BeTrue())
 	})
 
-	It("takes new bounds in", func() {
+	It("follows changed bounds", func() {
 		b := budget(1)
 		b.SetBounds(retry.Bounds{Window: time.Second})
 		Expect(b.Take("s", 1)).To(BeFalse())
