--- a/pkg/limits/shares.go
+++ b/pkg/limits/shares.go
@@ -1,6 +1,6 @@
-// Package limits splits the organisations' rates over the instances without a
-// coordinator: by the demand that each has seen of late, within a failure domain, and
-// by the number of instances between domains.
+// Package limits splits the rate limits of organisations across instances without a coordinator:
+// in proportion to recent demand within a failure domain, and by the number of instances between
+// domains.
 package limits
 
 import (
@@ -15,67 +15,68 @@
 )
 
 const (
-	// window is over how long demand is smoothed.
+	// window is the interval over which demand is smoothed.
 	window = 2 * time.Second
-	// demandLife is how long a neighbour's demand counts.
-	demandLife = 6 * time.Second
-	// reserve is the part of a domain's rate that is split equally whatever the demand,
-	// so that an instance whose demand begins can admit at once.
+	// demandTTL is how long the demand reported by a peer is used.
+	demandTTL = 6 * time.Second
+	// reserve is the fraction of a domain's rate that is split equally regardless of demand, so
+	// that an instance without recent demand can admit requests at once.
 	reserve = 0.1
-	// burstSeconds is how much of its part an instance may admit at once, minBurst what
-	// it may at least: requests do not come evenly.
+	// burstSeconds is the burst size in seconds of the instance's rate; minBurst is its lower
+	// bound.
 	burstSeconds = 0.5
 	minBurst     = 2
-	// maxNamed bounds the organisations named in one heartbeat; more take turns.
-	maxNamed = 4
+	// maxDemands bounds the demands per heartbeat; more are sent in rotation.
+	maxDemands = 4
 )
 
-// Demand is what one instance has been asked for by one organisation.
+// Demand is the request rate of one organisation at one instance.
 type Demand struct {
-	// Organisation is a hash of its name. Two with one hash share a demand, which
-	// splits their rates a little wrongly and does nothing else.
+	// Organisation is a hash of the name. A collision makes two organisations share a demand,
+	// which only distorts the split of their rates.
 	Organisation uint32
-	// PerSecond are requests offered, admitted or not.
+	// PerSecond is the rate of offered requests, whether admitted or not.
 	PerSecond float64
 }
 
-// Size is how many instances there are.
+// InstanceCounts is the number of instances in the failure domain and in total.
 type Size struct{ Domain, All int }
 
-// Shares knows the demand at this instance and at its neighbours. Safe for concurrent use.
+// Splitter tracks the demand at this instance and at its peers in the failure domain. It is safe
+// for concurrent use.
 type Shares struct {
-	mu         sync.Mutex
-	clock      clockwork.Clock
-	own        map[uint32]*counter
-	neighbours map[string]*neighbour
-	turn       int
+	mu    sync.Mutex
+	clock clockwork.Clock
+	own   map[uint32]*counter
+	peers map[string]*peer
+	next  int
 }
 
-// neighbour is what another instance of the domain has told, and when it last did.
-type neighbour struct {
-	at      time.Time
-	demands map[uint32]heard
+// peer holds the demands reported by another instance of the failure domain.
+type peer struct {
+	reportedAt time.Time
+	demands    map[uint32]peerDemand
 }
 
-// counter smooths a rate: its sum decays over window. It also holds the limiter of
-// this instance's part.
+// counter smooths a rate with linear decay over window. It also holds the limiter for this
+// instance's part of the rate.
 type counter struct {
 	sum     float64
 	at      time.Time
 	limiter *rate.Limiter
 }
 
-type heard struct {
-	perSecond float64
-	at        time.Time
+type peerDemand struct {
+	perSecond  float64
+	reportedAt time.Time
 }
 
-// NewShares returns shares without any demand.
+// NewSplitter returns a splitter without any demand.
 func NewShares(clock clockwork.Clock) *Shares {
-	return &Shares{clock: clock, own: map[uint32]*counter{}, neighbours: map[string]*neighbour{}}
+	return &Shares{clock: clock, own: map[uint32]*counter{}, peers: map[string]*peer{}}
 }
 
-// Hash returns the hash that stands for an organisation.
+// Hash returns the identifier of an organisation in a Demand.
 func Hash(organisation string) uint32 { return uint32(xxhash.Sum64String(organisation)) }
 
 func (c *counter) rate(now time.Time) float64 {
@@ -92,8 +93,8 @@
 	c.at = now
 }
 
-// Allow counts one request offered by an organisation with a rate, and tells whether
-// it is within this instance's part of the rate.
+// Allow counts a request offered by an organisation and reports whether it is within this
+// instance's part of the rate.
 func (s *Shares) Allow(organisation string, perSecond float64, size Size) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +121,7 @@
 
 func (s *Shares) limit(id uint32, perSecond float64, size Size) float64 {
 	each := perSecond / float64(max(size.All, size.Domain, 1))
-	// Neighbours of which nothing is heard may admit an equal part by themselves.
+	// Peers that have not reported may each use an equal part.
 	known := float64(max(size.Domain-s.silent(size), 1))
 	own, total := s.demand(id)
 	if total <= 0 {
@@ -129,71 +130,71 @@
 	return each * (reserve + (1-reserve)*known*own/total)
 }
 
-// silent is the number of neighbours that live but have not been heard of late.
+// silent is the number of live peers without a recent report.
 func (s *Shares) silent(size Size) int {
 	now := s.clock.Now()
-	heard := 0
-	for _, n := range s.neighbours {
-		if now.Sub(n.at) <= demandLife {
-			heard++
+	reported := 0
+	for _, n := range s.peers {
+		if now.Sub(n.reportedAt) <= demandTTL {
+			reported++
 		}
 	}
-	return max(size.Domain-1-heard, 0)
+	return max(size.Domain-1-reported, 0)
 }
 
-// demand returns the demand here, and in the domain.
+// demand returns the demand at this instance and in the failure domain.
 func (s *Shares) demand(id uint32) (own, total float64) {
 	now := s.clock.Now()
 	if c := s.own[id]; c != nil {
 		own = c.rate(now)
 	}
 	total = own
-	for _, n := range s.neighbours {
-		if h, ok := n.demands[id]; ok && now.Sub(h.at) <= demandLife {
+	for _, n := range s.peers {
+		if h, ok := n.demands[id]; ok && now.Sub(h.reportedAt) <= demandTTL {
 			total += h.perSecond
 		}
 	}
 	return own, total
 }
 
-// Named returns the demands to tell the neighbours: a few at a time, in turn.
+// Demands returns the demands for the next heartbeat, in rotation if there are too many.
 func (s *Shares) Named() []Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	maps.DeleteFunc(s.neighbours, func(_ string, n *neighbour) bool { return now.Sub(n.at) > demandLife })
+	maps.DeleteFunc(s.peers, func(_ string, n *peer) bool { return now.Sub(n.reportedAt) > demandTTL })
 	var all []Demand
 	for id, c := range s.own {
 		rate := c.rate(now)
-		if rate == 0 && now.Sub(c.at) > demandLife {
+		if rate == 0 && now.Sub(c.at) > demandTTL {
 			delete(s.own, id)
 			continue
 		}
 		all = append(all, Demand{Organisation: id, PerSecond: rate})
 	}
 	slices.SortFunc(all, func(a, b Demand) int { return int(int64(a.Organisation) - int64(b.Organisation)) })
-	if len(all) <= maxNamed {
+	if len(all) <= maxDemands {
 		return all
 	}
-	named := make([]Demand, 0, maxNamed)
-	for i := range maxNamed {
-		named = append(named, all[(s.turn+i)%len(all)])
+	demands := make([]Demand, 0, maxDemands)
+	for i := range maxDemands {
+		demands = append(demands, all[(s.next+i)%len(all)])
 	}
-	s.turn = (s.turn + maxNamed) % len(all)
-	return named
+	s.next = (s.next + maxDemands) % len(all)
+	return demands
 }
 
-// Heard takes in the demands that a neighbour has named, be it none.
+// SetPeerDemands records the demands that a peer reported. The list may be empty.
 func (s *Shares) Heard(instance string, demands []Demand) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := s.neighbours[instance]
+	n := s.peers[instance]
 	if n == nil {
-		n = &neighbour{demands: map[uint32]heard{}}
-		s.neighbours[instance] = n
+		n = &peer{demands: map[uint32]peerDemand{}}
+		s.peers[instance] = n
 	}
-	n.at = s.clock.Now()
+	n.reportedAt = s.clock.Now()
 	for _, d := range demands {
-		n.demands[d.Organisation] = heard{perSecond: d.PerSecond, at: n.at}
+		n.demands[d.Organisation] = peerDemand{perSecond: d.PerSecond, reportedAt: n.reportedAt}
 	}
 }
--- a/pkg/limits/shares_test.go
+++ b/pkg/limits/shares_test.go
@@ -17,12 +17,11 @@
 	RunSpecs(t, "limits")
 }
 
-// fleet is instances of one failure domain that tell each other their demands once a
-// second, unless they are cut off from each other.
+// fleet simulates instances of one failure domain that exchange their demands once per second.
 type fleet struct {
-	clock  *clockwork.FakeClock
-	shares []*limits.Shares
-	cut    bool
+	clock       *clockwork.FakeClock
+	shares      []*limits.Shares
+	partitioned bool
 }
 
 func newFleet(n int) *fleet {
@@ -35,8 +34,8 @@
 
 const limit = 100.0
 
-// admitted offers requests at rates for each instance for some seconds, and returns how
-// many were admitted a second.
+// admitted offers requests at the given rate per instance and returns the admitted requests per
+// second.
 func (f *fleet) admitted(seconds int, perSecond ...float64) float64 {
 	const steps = 1000
 	count := 0
@@ -50,7 +49,7 @@
 				}
 			}
 		}
-		f.tell()
+		f.exchange()
 	}
 	return float64(count) / float64(seconds)
 }
@@ -62,60 +61,60 @@
 	return 0
 }
 
-func (f *fleet) tell() {
-	if f.cut {
+func (f *fleet) exchange() {
+	if f.partitioned {
 		return
 	}
 	for i, from := range f.shares {
-		named := from.Named()
+		demands := from.Named()
 		for j, to := range f.shares {
 			if i != j {
-				to.Heard(fmt.Sprint(i), named)
+				to.Heard(fmt.Sprint(i), demands)
 			}
 		}
 	}
 }
 
-var _ = Describe("a rate over all instances", func() {
-	DescribeTable("is nearly used up and hardly exceeded, however demand is spread",
+var _ = Describe("a rate limit across instances", func() {
+	DescribeTable("is almost fully used and not exceeded for any distribution of demand",
 		func(least, most float64, perSecond ...float64) {
 			f := newFleet(len(perSecond))
 			f.admitted(6, perSecond...)
 			got := f.admitted(10, perSecond...)
-			AddReportEntry("admitted a second", got)
+			AddReportEntry("admitted per second", got)
 			Expect(got).To(BeNumerically(">=", least))
 			Expect(got).To(BeNumerically("<=", most))
 		},
 		Entry("evenly", 95.0, 102.0, 60.0, 60.0, 60.0, 60.0),
-		Entry("two to one", 93.0, 102.0, 120.0, 60.0, 60.0, 60.0),
-		Entry("all at one", 90.0, 102.0, 300.0, 0.0, 0.0, 0.0),
-		Entry("all at one of seven", 90.0, 102.0, 300.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0),
+		Entry("double at one instance", 93.0, 102.0, 120.0, 60.0, 60.0, 60.0),
+		Entry("all at one instance", 90.0, 102.0, 300.0, 0.0, 0.0, 0.0),
+		Entry("all at one of seven instances", 90.0, 102.0, 300.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0),
 	)
 
-	It("follows demand that moves from one instance to another", func() {
+	It("follows demand that moves between instances", func() {
 		f := newFleet(4)
 		f.admitted(6, 300, 0, 0, 0)
 		f.admitted(4, 0, 300, 0, 0)
 		Expect(f.admitted(6, 0, 300, 0, 0)).To(BeNumerically("~", 94, 8))
 	})
 
-	It("is not exceeded while instances are cut off from each other, and once they know nothing", func() {
+	It("is not exceeded during a partition", func() {
 		f := newFleet(4)
 		f.admitted(6, 300, 10, 10, 10)
-		f.cut = true
+		f.partitioned = true
 		f.admitted(6, 300, 300, 300, 300)
 		got := f.admitted(10, 300, 300, 300, 300)
-		AddReportEntry("admitted a second, cut off", got)
+		AddReportEntry("admitted per second, partitioned", got)
 		Expect(got).To(BeNumerically("<=", 1.05*limit))
 		Expect(got).To(BeNumerically(">=", 0.95*limit))
 	})
 
-	It("is split equally before any demand is known", func() {
+	It("is split equally while no demand is known", func() {
 		s := limits.NewShares(clockwork.NewFakeClock())
 		Expect(s.Limit("huila", 100, limits.Size{Domain: 4, All: 20})).To(Equal(5.0))
 	})
 
-	It("is split without a neighbour that is gone, and names many organisations in turn", func() {
+	It("ignores expired demand, and sends many demands in rotation", func() {
 		clock := clockwork.NewFakeClock()
 		s := limits.NewShares(clock)
 		s.Allow("huila", 100, limits.Size{Domain: 2, All: 2})
@@ -127,12 +126,12 @@
 		for i := range 10 {
 			s.Allow(fmt.Sprint(i), 100, limits.Size{Domain: 2, All: 2})
 		}
-		named := map[uint32]bool{}
+		demands := map[uint32]bool{}
 		for range 5 {
 			for _, d := range s.Named() {
-				named[d.Organisation] = true
+				demands[d.Organisation] = true
 			}
 		}
-		Expect(named).To(HaveLen(11))
+		Expect(demands).To(HaveLen(11))
 	})
 })
