--- a/pkg/held/account.go
+++ b/pkg/held/account.go
@@ -1,40 +1,40 @@
-// Package held counts the bytes that one instance holds for clients and endpoints, so that it refuses at once what
-// it has no memory for.
+// Package held limits the memory that an instance uses for the data of clients and endpoints.
+// Requests over the limit are rejected immediately.
 package held
 
 import "sync/atomic"
 
-// Account is the bytes held, and how many may be. Safe for concurrent use.
+// Quota tracks the bytes in use against a limit. It is safe for concurrent use.
 type Account struct {
 	limit atomic.Int64
-	held  atomic.Int64
+	used  atomic.Int64
 }
 
-// NewAccount returns an account of which nothing is held. A limit of 0 is none.
+// NewQuota returns an unused quota. A limit of 0 means unlimited.
 func NewAccount(limit int64) *Account {
 	a := &Account{}
 	a.SetLimit(limit)
 	return a
 }
 
-// SetLimit sets how many bytes may be held; 0: any number.
+// SetLimit sets the limit in bytes; 0 means unlimited.
 func (a *Account) SetLimit(limit int64) { a.limit.Store(limit) }
 
-// Take counts bytes in that are to be held, unless they would be too many, and tells whether it did.
+// TryReserve reserves bytes if they are within the limit and reports whether it did.
 func (a *Account) Take(bytes int64) bool {
 	limit := a.limit.Load()
-	if after := a.held.Add(bytes); limit > 0 && after > limit {
-		a.held.Add(-bytes)
+	if after := a.used.Add(bytes); limit > 0 && after > limit {
+		a.used.Add(-bytes)
 		return false
 	}
 	return true
 }
 
-// Add counts bytes in that are held in any case, such as those of an answer that has come.
-func (a *Account) Add(bytes int64) { a.held.Add(bytes) }
+// Reserve reserves bytes regardless of the limit, for data that has already been received.
+func (a *Account) Add(bytes int64) { a.used.Add(bytes) }
 
-// Free counts bytes out.
-func (a *Account) Free(bytes int64) { a.held.Add(-bytes) }
+// Release releases reserved bytes.
+func (a *Account) Free(bytes int64) { a.used.Add(-bytes) }
 
-// Held is how many bytes are held.
-func (a *Account) Held() int64 { return a.held.Load() }
+// Used returns the number of reserved bytes.
+func (a *Account) Held() int64 { return a.used.Load() }
--- a/pkg/held/account_test.go
+++ b/pkg/held/account_test.go
@@ -17,7 +17,7 @@
 	g.Expect(a.Take(40)).To(BeTrue())
 	a.Add(30)
 	g.Expect(a.Held()).To(Equal(int64(130)))
-	g.Expect(a.Take(0)).To(BeFalse(), "more is held than may be")
+	g.Expect(a.Take(0)).To(BeFalse(), "the usage exceeds the limit")
 	a.Free(130)
 	g.Expect(a.Take(100)).To(BeTrue())
 	a.SetLimit(0)
