--- a/pkg/notice/notice.go
+++ b/pkg/notice/notice.go
@@ -1,20 +1,23 @@
-// Package notice holds what endpoints say of themselves in the heads of their answers, whatever they
-// answer to a call: that they leave, that they want nothing from this machine for a while, or how much they take from all machines.
+// Package notice holds the state that endpoints report in response headers, independent of the
+// call: that they are shutting down, a backoff requested from this instance, and a rate limit
+// shared by all instances.
 package notice
 
 import "time"
 
-// Notice is what one answer says of its endpoint. The zero value says nothing.
+// Notice is the information from one response. The zero value reports nothing.
 type Notice struct {
-	// Leaving: the endpoint ends in time, and wants no new work from anybody.
+	// Leaving: the endpoint is shutting down and accepts no new work.
 	Leaving bool
-	// Rest is how long the endpoint wants nothing from this machine; 0: it does not say.
+	// Backoff is how long this instance must not call the endpoint; 0 if not given.
 	Rest time.Duration
-	// Limited: the endpoint takes no more than Limit requests a second, from all machines together.
+	// Limited: the endpoint accepts at most Limit requests per second from all instances together.
 	Limited bool
 	Limit   float64
-	// Unlimited: it answered work and names no limit, so that one it named before is over.
+	// Unlimited: the endpoint processed the call without reporting a limit, which lifts an earlier
+	// one.
 	Unlimited bool
-	// Unread is what the answer says of a rest or a limit and can't be read; empty: nothing.
+	// Malformed is the text of a backoff or limit that could not be parsed; empty if there was
+	// none.
 	Unread string
 }
--- a/pkg/notice/rests.go
+++ b/pkg/notice/rests.go
@@ -13,127 +13,126 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-// Limits tell when this machine may next call an endpoint that takes only so much from all.
+// Limits reports when this instance may call rate-limited endpoints.
 type Limits interface {
-	// Any tells whether any limit holds.
+	// Any reports whether any limit is in force.
 	Any() bool
-	// Left is how long it takes until this machine may next call an endpoint's life; 0: it may now.
-	Delay(life string) time.Duration
+	// Delay is the time until this instance may call an endpoint; 0 if it may call now.
+	Delay(id string) time.Duration
 }
 
-// Unlimited are no limits.
+// Unlimited implements Limits without any limit.
 type Unlimited struct{}
 
 // Any implements Limits.
 func (Unlimited) Any() bool { return false }
 
-// Left implements Limits.
+// Delay implements Limits.
 func (Unlimited) Delay(string) time.Duration { return 0 }
 
-// Rests are the rests that endpoints want from this machine: those that they asked it for, and those until it may call them
-// again by a limit for all. An endpoint that is called sooner turns the call away, and the request loses a try. What an
-// endpoint asked one machine for is not told to other instances: it asks each by itself. Safe for concurrent use.
+// Backoffs tracks until when this instance must not call endpoints, because of a requested backoff
+// or a shared rate limit. An earlier call would be rejected and use up an attempt. Requested
+// backoffs apply to this instance only and are not shared. Backoffs is safe for concurrent use.
 type Rests struct {
 	clock  clockwork.Clock
 	limits Limits
 	log    *logrus.Entry
-	// resting is how many rests are kept, so that it costs nothing to ask while there are none.
-	resting atomic.Int64
+	// active is the number of stored backoffs. It makes lookups cheap while there are none.
+	active atomic.Int64
 
 	mu sync.Mutex
-	// until has, by the ID of an endpoint's life, when its rest ends.
+	// until holds the end of each backoff by endpoint ID.
 	until map[string]time.Time
 }
 
-// NewRests returns rests of no endpoint but by limits.
+// NewBackoffs returns an empty set of backoffs on top of limits.
 func NewRests(clock clockwork.Clock, limits Limits, log *logrus.Entry) *Rests {
 	return &Rests{clock: clock, limits: limits, log: log, until: map[string]time.Time{}}
 }
 
-// Ask takes in that an endpoint's life wants rest from now on. Of two rests the one that ends later holds:
-// each answer was a promise of its own.
+// Start begins a backoff of an endpoint. If one is active, the later end applies.
 func (r *Rests) Ask(endpoint string, rest time.Duration) {
 	until := r.clock.Now().Add(rest)
 	r.mu.Lock()
 	if until.After(r.until[endpoint]) {
 		r.until[endpoint] = until
 	}
-	r.resting.Store(int64(len(r.until)))
+	r.active.Store(int64(len(r.until)))
 	r.mu.Unlock()
 	r.log.WithFields(logrus.Fields{"event": "endpoint_rests", "endpoint": endpoint, "ms": rest.Milliseconds()}).Info()
 }
 
-// Left is how much longer an endpoint's life wants rest; 0: it wants none.
+// Remaining is the time until an endpoint may be called; 0 if it may be called now.
 func (r *Rests) Left(endpoint string) time.Duration {
-	return max(r.asked(endpoint), r.limits.Delay(endpoint))
+	return max(r.found(endpoint), r.limits.Delay(endpoint))
 }
 
-// asked is how much longer an endpoint's life wants the rest that it asked this machine for.
-func (r *Rests) asked(endpoint string) time.Duration {
-	if r.resting.Load() == 0 {
+// requested is the remaining time of the backoff that an endpoint requested.
+func (r *Rests) found(endpoint string) time.Duration {
+	if r.active.Load() == 0 {
 		return 0
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	until, asked := r.until[endpoint]
-	if !asked {
+	until, found := r.until[endpoint]
+	if !found {
 		return 0
 	}
 	return max(0, until.Sub(r.clock.Now()))
 }
 
-// Least is how long it takes until the first of several wants no rest, by how much longer each wants one; 0 if one wants none
-// now, or if there are none.
-func Least[T any](several []T, left func(T) time.Duration) time.Duration {
+// MinRemaining returns the shortest remaining time of the given items, or 0 if one has none or the
+// list is empty.
+func Least[T any](items []T, remaining func(T) time.Duration) time.Duration {
 	least := time.Duration(0)
-	for _, one := range several {
-		rest := left(one)
-		if rest == 0 {
+	for _, item := range items {
+		t := remaining(item)
+		if t == 0 {
 			return 0
 		}
-		if least == 0 || rest < least {
-			least = rest
+		if least == 0 || t < least {
+			least = t
 		}
 	}
 	return least
 }
 
-// Least is how long it takes until the first of several endpoints wants no rest.
+// MinRemaining is the time until the first of the endpoints may be called.
 func (r *Rests) Least(endpoints []fleet.Endpoint) time.Duration {
 	return Least(endpoints, func(e fleet.Endpoint) time.Duration { return r.Left(e.ID) })
 }
 
-// Limited tells whether limits for all keep this machine from calling any of several endpoints now.
+// Limited reports whether a shared rate limit blocks calls to any of the endpoints.
 func (r *Rests) Limited(endpoints []fleet.Endpoint) bool {
 	return r.limits.Any() && slices.ContainsFunc(endpoints, func(e fleet.Endpoint) bool { return r.limits.Delay(e.ID) > 0 })
 }
 
-// Return is when a caller may come back whom all endpoints' rests have turned away: when one of them, drawn at
-// random, has had its rest. It is the first or one that ends soon after that, so that not all callers come to the
-// first endpoint at one moment.
-func (r *Rests) Return(endpoints []fleet.Endpoint, soon time.Duration) time.Duration {
-	least := r.Least(endpoints)
-	var ends []time.Duration
+// RetryAfter suggests when a caller should retry if all endpoints are backing off. It picks at
+// random among the backoffs that end within window of the first, so that callers do not all return
+// to the same endpoint at the same time.
+func (r *Rests) Return(endpoints []fleet.Endpoint, window time.Duration) time.Duration {
+	first := r.Least(endpoints)
+	var candidates []time.Duration
 	for _, e := range endpoints {
-		if left := r.Left(e.ID); left <= least+soon {
-			ends = append(ends, left)
+		if left := r.Left(e.ID); left <= first+window {
+			candidates = append(candidates, left)
 		}
 	}
-	if least == 0 || len(ends) == 0 {
-		return least
+	if first == 0 || len(candidates) == 0 {
+		return first
 	}
-	return ends[rand.IntN(len(ends))]
+	return candidates[rand.IntN(len(candidates))]
 }
 
-// Awake returns the endpoints that want no rest: the same slice if that is all of them.
+// Available returns the endpoints that may be called now. It returns the given slice if all may.
 func (r *Rests) Awake(endpoints []fleet.Endpoint) []fleet.Endpoint {
-	if r.resting.Load() == 0 && !r.limits.Any() {
+	if r.active.Load() == 0 && !r.limits.Any() {
 		return endpoints
 	}
 	return fleet.Except(endpoints, func(e fleet.Endpoint) bool { return r.Left(e.ID) > 0 })
 }
 
-// List returns how much longer each endpoint's life wants the rest that it asked this machine for.
+// List returns the remaining time of each requested backoff.
 func (r *Rests) List() map[string]time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,10 +146,10 @@
 	return list
 }
 
-// Count is how many endpoints asked this machine for rest.
-func (r *Rests) Count() int { return int(r.resting.Load()) }
+// Count returns the number of stored backoffs.
+func (r *Rests) Count() int { return int(r.active.Load()) }
 
-// Sweep drops the rests that are over.
+// Sweep removes expired backoffs.
 func (r *Rests) Sweep() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -160,5 +159,5 @@
 			delete(r.until, endpoint)
 		}
 	}
-	r.resting.Store(int64(len(r.until)))
+	r.active.Store(int64(len(r.until)))
 }
