--- a/pkg/once/claims.go
+++ b/pkg/once/claims.go
@@ -16,14 +16,14 @@
 
 const (
 	claimPrefix = "cobaltcroft/claim/"
-	// leaseParts is into how many parts the retention is cut: each part has its
-	// own lease, so that few leases carry many claims.
-	leaseParts = 24
-	// claimTries bounds the writes of one claim when answers are lost.
-	claimTries = 3
+	// leasesPerRetention is the number of leases created within the retention time. Claims share
+	// leases to keep their number small.
+	leasesPerRetention = 24
+	// maxClaimAttempts bounds the writes of one claim when responses are lost.
+	maxClaimAttempts = 3
 )
 
-// Claims binds requests to holders in the key-value service.
+// Claims binds requests to instances in the key-value service.
 type Claims struct {
 	kv        infra.KeyValue
 	clock     clockwork.Clock
@@ -35,24 +35,25 @@
 	granted time.Time
 }
 
-// NewClaims returns claims for self, kept by the service for retention or a little longer.
+// NewClaims returns claims for the instance self. The service keeps each claim for at least the
+// retention time.
 func NewClaims(kv infra.KeyValue, clock clockwork.Clock, retention time.Duration, self Holder) *Claims {
 	return &Claims{kv: kv, clock: clock, retention: retention, self: self}
 }
 
-// claim is the value of a claim's key.
+// claim is the stored value of a claim.
 type claim struct {
 	Holder Holder `json:"holder"`
-	// Nonce tells the claim of one call from that of another of the same holder.
+	// Nonce distinguishes the claims of different calls by the same holder.
 	Nonce string `json:"nonce"`
 }
 
-// Claim binds the request to this instance unless it is bound, and returns whom it
-// is bound to, and whether this call bound it. After an error nothing is known to
-// be bound; a binding that exists all the same is to this instance.
-func (c *Claims) Claim(ctx context.Context, key Key) (holder Holder, fresh bool, err error) {
+// Claim binds the request to this instance unless it is already bound. It returns the holder and
+// whether this call created the binding. On error the binding is unknown, but if this call created
+// one, it is to this instance.
+func (c *Claims) Claim(ctx context.Context, key Key) (holder Holder, created bool, err error) {
 	own := claim{Holder: c.self, Nonce: uuid.NewString()}
-	for range claimTries {
+	for range maxClaimAttempts {
 		var found claim
 		found, err = c.try(ctx, key, own)
 		if err == nil {
@@ -72,7 +73,7 @@
 	}
 	data, err := json.Marshal(own)
 	if err != nil {
-		return claim{}, problem.Wrap(err, problem.Internal, "report this", "claim does not encode")
+		return claim{}, problem.Wrap(err, problem.Internal, "report a bug", "encode the claim")
 	}
 	_, err = c.kv.CompareAndSwap(ctx, claimKey(key), 0, data, lease)
 	if err == nil {
@@ -84,18 +85,18 @@
 	return c.read(ctx, key)
 }
 
-// read returns a claim that exists.
+// read returns an existing claim.
 func (c *Claims) read(ctx context.Context, key Key) (claim, error) {
 	value, err := c.kv.Get(ctx, claimKey(key))
 	if err != nil {
 		return claim{}, err
 	}
 	if !value.Found() {
-		return claim{}, problem.New(problem.Unknown, "try again", "the claim of request %s went while it was read", key.ID)
+		return claim{}, problem.New(problem.Unknown, "retry", "the claim of request %s expired while it was read", key.ID)
 	}
 	var found claim
 	if err := json.Unmarshal(value.Data, &found); err != nil {
-		return claim{}, problem.Wrap(err, problem.Internal, "remove the key "+claimKey(key), "the claim of request %s does not parse", key.ID)
+		return claim{}, problem.Wrap(err, problem.Internal, "delete the key "+claimKey(key), "decode the claim of request %s", key.ID)
 	}
 	return found, nil
 }
@@ -103,15 +104,15 @@
 func (c *Claims) currentLease(ctx context.Context) (infra.LeaseID, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	part := c.retention / leaseParts
-	if c.lease != 0 && c.clock.Since(c.granted) < part {
+	period := c.retention / leasesPerRetention
+	if c.lease != 0 && c.clock.Since(c.granted) < period {
 		return c.lease, nil
 	}
 	granted := c.clock.Now()
-	lease, err := c.kv.Grant(ctx, c.retention+part)
+	lease, err := c.kv.Grant(ctx, c.retention+period)
 	if err != nil {
-		// A lease whose grant was lost holds no keys and ends by itself.
-		return 0, problem.Wrap(err, problem.Unavailable, "ask again with the ticket", "no lease for claims")
+		// If the response to the grant was lost, the lease holds no keys and expires unused.
+		return 0, problem.Wrap(err, problem.Unavailable, "retry with a ticket", "grant a lease for claims")
 	}
 	c.lease, c.granted = lease, granted
 	return lease, nil
--- a/pkg/once/once_test.go
+++ b/pkg/once/once_test.go
@@ -26,15 +26,15 @@
 
 const secret = "a shared secret"
 
-// network forwards between gates by instance name, unless it is cut.
+// network forwards requests between gates by instance name.
 type network struct {
-	gates map[string]*once.Gate
-	cut   atomic.Bool
+	gates       map[string]*once.Gate
+	partitioned atomic.Bool
 }
 
 func (n *network) Forward(ctx context.Context, holder once.Holder, r request.Request) (request.Result, error) {
 	gate := n.gates[holder.Instance]
-	if gate == nil || n.cut.Load() {
+	if gate == nil || n.partitioned.Load() {
 		return request.Result{}, problem.New(problem.Unavailable, "", "cut")
 	}
 	return gate.Bound(ctx, holder, r), nil
@@ -98,14 +98,14 @@
 		return g.Do(ctx, r)
 	}
 
-	It("runs a request once that comes twice in turn, to one instance and to another", func() {
+	It("runs a request once that is sent repeatedly to both instances", func() {
 		for _, g := range []*once.Gate{a, a, b, b} {
 			Expect(do(g, renewal())).To(SatisfyAll(HaveField("Outcome", request.Answered), HaveField("Instance", "a")))
 		}
 		Expect(runs.Load()).To(Equal(int32(1)))
 	})
 
-	It("runs a request once that comes many times at once, to two instances", func() {
+	It("runs a request once that is sent concurrently to both instances", func() {
 		hold = make(chan struct{})
 		var wg sync.WaitGroup
 		results := make([]request.Result, 10)
@@ -121,14 +121,14 @@
 		}
 	})
 
-	It("says unknown, and runs nothing, when the holder can't be reached", func() {
+	It("returns unknown and runs nothing when the holder is unreachable", func() {
 		do(a, renewal())
-		net.cut.Store(true)
+		net.partitioned.Store(true)
 		Expect(do(b, renewal()).Outcome).To(Equal(request.Unknown))
 		Expect(runs.Load()).To(Equal(int32(1)))
 	})
 
-	It("says unknown, and runs nothing, when the holder has ended, replaced by a new one of its name", func() {
+	It("returns unknown and runs nothing when the holder was replaced by a new incarnation", func() {
 		do(a, renewal())
 		replaced := newGate("a", 2)
 		Expect(do(replaced, renewal()).Outcome).To(Equal(request.Unknown))
@@ -136,21 +136,21 @@
 		Expect(runs.Load()).To(Equal(int32(1)))
 	})
 
-	It("says unknown once the table has forgotten the result, and runs nothing", func() {
+	It("returns unknown and runs nothing after the result has expired", func() {
 		do(a, renewal())
 		clock.Advance(2 * once.Retention)
 		Expect(do(a, renewal()).Outcome).To(Equal(request.Unknown))
 		Expect(runs.Load()).To(Equal(int32(1)))
 	})
 
-	It("never says not run of a request that ran elsewhere, though it can't find out", func() {
+	It("never returns not run for a request that ran on an unreachable instance", func() {
 		Expect(do(a, renewal()).Outcome).To(Equal(request.Answered))
 		service.SetFaults(standin.KeyValueFaults{Outage: true})
 		Expect(do(b, renewal()).Outcome).To(Equal(request.Unknown))
 		Expect(runs.Load()).To(Equal(int32(1)))
 	})
 
-	It("runs nothing while the service is out, and can run later", func() {
+	It("runs nothing during an outage of the service, and can run later", func() {
 		service.SetFaults(standin.KeyValueFaults{Outage: true})
 		result := do(a, renewal())
 		Expect(result.Outcome).To(Equal(request.Unknown))
@@ -162,7 +162,7 @@
 		Expect(runs.Load()).To(Equal(int32(1)))
 	})
 
-	DescribeTable("finds by reading back whether a claim without an answer took effect",
+	DescribeTable("reads back a claim whose response was lost",
 		func(faults standin.KeyValueFaults) {
 			do(a, request.Request{ID: "first", Organisation: "gym", Deadline: time.Now().Add(time.Second)})
 			runs.Store(0)
@@ -171,18 +171,18 @@
 			Expect(do(b, renewal())).To(HaveField("Instance", "a"))
 			Expect(runs.Load()).To(Equal(int32(1)))
 		},
-		Entry("it did", standin.KeyValueFaults{LoseAnswers: 1}),
-		Entry("it didn't", standin.KeyValueFaults{LoseCalls: 1}),
+		Entry("after the write", standin.KeyValueFaults{LoseAnswers: 1}),
+		Entry("before the write", standin.KeyValueFaults{LoseCalls: 1}),
 	)
 
-	It("lets a request come again of which nothing ran", func() {
+	It("allows another attempt if nothing ran", func() {
 		outcome = request.NotRun
 		Expect(do(a, renewal()).Outcome).To(Equal(request.NotRun))
 		outcome = request.Answered
 		Expect(do(b, renewal())).To(SatisfyAll(HaveField("Outcome", request.Answered), HaveField("Instance", "a")))
 	})
 
-	It("does not run again what failed or is unknown", func() {
+	It("does not run a request again whose outcome is unknown", func() {
 		outcome = request.Unknown
 		Expect(do(a, renewal()).Outcome).To(Equal(request.Unknown))
 		outcome = request.Answered
@@ -190,7 +190,7 @@
 		Expect(runs.Load()).To(Equal(int32(1)))
 	})
 
-	It("runs nothing of another request under a used id, and does not say that nothing of that id ran", func() {
+	It("does not run a different request with a used id, and does not return not run", func() {
 		do(a, renewal())
 		other := renewal()
 		other.Input = []byte(`{"member": 8}`)
@@ -205,7 +205,7 @@
 			return r
 		}
 
-		It("runs during an outage of the service, once, at the instance that gave it", func() {
+		It("runs once on the issuing instance during an outage of the service", func() {
 			service.SetFaults(standin.KeyValueFaults{Outage: true})
 			r := ticketed()
 			for _, g := range []*once.Gate{b, a, b, a} {
@@ -214,16 +214,16 @@
 			Expect(runs.Load()).To(Equal(int32(1)))
 		})
 
-		It("says unknown elsewhere when that instance can't be reached or has been replaced", func() {
+		It("returns unknown on other instances if the issuer is unreachable or was replaced", func() {
 			r := ticketed()
-			net.cut.Store(true)
+			net.partitioned.Store(true)
 			Expect(do(b, r).Outcome).To(Equal(request.Unknown))
-			net.cut.Store(false)
+			net.partitioned.Store(false)
 			Expect(do(newGate("a", 2), r).Outcome).To(Equal(request.Unknown))
 			Expect(runs.Load()).To(BeZero())
 		})
 
-		It("is refused when forged, for another request, or past its time", func() {
+		It("is refused if forged, issued for a different request, or expired", func() {
 			r := ticketed()
 			r.ID = "r2"
 			Expect(do(a, r)).To(SatisfyAll(HaveField("Outcome", request.NotRun), HaveField("Problem.Kind", problem.Invalid)))
--- a/pkg/once/table.go
+++ b/pkg/once/table.go
@@ -1,6 +1,6 @@
-// Package once lets a not-repeatable request run at most once. A request is bound
-// to one incarnation of one instance, by a claim in the key-value service or by a
-// ticket; at that instance a table lets one copy run and gives its result to all.
+// Package once runs non-repeatable requests at most once. A request is bound to one incarnation of
+// an instance by a claim in the key-value service or by a ticket. On that instance, a table runs
+// one copy and returns its result to all others.
 package once
 
 import (
@@ -15,62 +15,60 @@
 )
 
 const (
-	// Retention is how long a result is kept for copies that come late. Tickets
-	// end well before.
+	// Retention is how long results are kept for late duplicates. It exceeds TicketLife.
 	Retention = 10 * time.Minute
-	// MaxEntries bounds the table; a full table refuses instead of forgetting.
+	// MaxEntries bounds the table. A full table refuses new requests instead of dropping entries.
 	MaxEntries = 100_000
 )
 
-// Key identifies a not-repeatable request.
+// Key identifies a non-repeatable request.
 type Key struct {
 	Organisation string
 	ID           string
 }
 
-// entry is one request that runs or has run here.
+// entry records a request that is running or has run on this instance.
 type entry struct {
 	fingerprint uint64
 	done        chan struct{}
 	result      request.Result
-	until       time.Time
-	// released is set if nothing of the request ran: it may come again.
-	released bool
+	expiresAt   time.Time
+	// retryable is set if nothing of the request ran.
+	retryable bool
 }
 
-// Table holds the not-repeatable requests of this process. Safe for concurrent use.
+// Table holds the non-repeatable requests of this process. It is safe for concurrent use.
 type Table struct {
-	mu      sync.Mutex
-	clock   clockwork.Clock
-	entries map[Key]*entry
-	swept   time.Time
+	mu        sync.Mutex
+	clock     clockwork.Clock
+	entries   map[Key]*entry
+	lastSweep time.Time
 }
 
 // NewTable returns an empty table.
 func NewTable(clock clockwork.Clock) *Table {
-	return &Table{clock: clock, entries: map[Key]*entry{}, swept: clock.Now()}
+	return &Table{clock: clock, entries: map[Key]*entry{}, lastSweep: clock.Now()}
 }
 
-// Ran is what a run gives: the result, and whether it is the request's own fate,
-// which copies are to be given too. The result of a forwarded copy is not.
+// RunResult is the result of a run. Final reports whether duplicates receive the same result,
+// which is not the case if the request was forwarded.
 type Ran struct {
 	Result request.Result
 	Final  bool
 }
 
-// Do calls run unless the request of this key is running or has run here; then it
-// waits for that result, until ctx ends. A request whose result was NotRun or not
-// final may come again: run is then called with again set. The fingerprint tells a
-// copy from another request that wrongly has the same key.
-func (t *Table) Do(ctx context.Context, key Key, fingerprint uint64, run func(again bool) Ran) request.Result {
-	e, begun, err := t.begin(key, fingerprint)
+// Do calls run unless a request with this key is running or has run; in that case it waits for its
+// result until ctx ends. A request whose result was NotRun or not final may run again, with retry
+// set. The fingerprint detects different requests with the same key.
+func (t *Table) Do(ctx context.Context, key Key, fingerprint uint64, run func(retry bool) Ran) request.Result {
+	e, arrived, err := t.begin(key, fingerprint)
 	if err != nil {
-		// A copy may have run elsewhere, or here and be forgotten; or another request
-		// of this id has run.
+		// A copy may have run on another instance or its record may have expired, or a different
+		// request with this ID has run.
 		return request.Uncertain(key.ID, err)
 	}
-	if begun != copyOf {
-		ran := run(begun == again)
+	if arrived != duplicate {
+		ran := run(arrived == retry)
 		t.finish(e, ran)
 		return ran.Result
 	}
@@ -78,40 +76,40 @@
 	case <-e.done:
 		return e.result
 	case <-ctx.Done():
-		return request.Uncertain(key.ID, problem.New(problem.Deadline, "ask again with the same request id", "request %s still runs for an earlier copy", key.ID))
+		return request.Uncertain(key.ID, problem.New(problem.Deadline, "retry with the same request id", "an earlier copy of request %s is still running", key.ID))
 	}
 }
 
-// begun says how a request stands to those that came before.
-type begun int
+// arrival classifies a request by the earlier requests with its key.
+type arrival int
 
 const (
-	// first: none came before.
-	first begun = iota
-	// again: one came before, and nothing of it ran.
-	again
-	// copyOf: one came before, and it runs or has run.
-	copyOf
+	// first: there was no earlier request.
+	first arrival = iota
+	// retry: nothing of the earlier request ran.
+	retry
+	// duplicate: the earlier request is running or has run.
+	duplicate
 )
 
-func (t *Table) begin(key Key, fingerprint uint64) (*entry, begun, error) {
+func (t *Table) begin(key Key, fingerprint uint64) (*entry, arrival, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep()
-	before := t.entries[key]
-	if before != nil && before.fingerprint != fingerprint {
-		return nil, copyOf, problem.New(problem.Invalid, "give each request its own id; this copy was not run, another request of this id may have", "request id %s was used for another request", key.ID)
+	earlier := t.entries[key]
+	if earlier != nil && earlier.fingerprint != fingerprint {
+		return nil, duplicate, problem.New(problem.Invalid, "use a unique id for each request; this copy was not run, another request with this id may have been", "request id %s was used for a different request", key.ID)
 	}
-	if before != nil && !before.released {
-		return before, copyOf, nil
+	if earlier != nil && !earlier.retryable {
+		return earlier, duplicate, nil
 	}
-	if before == nil && len(t.entries) >= MaxEntries {
-		return nil, copyOf, problem.New(problem.Overloaded, "ask again later or at another instance; nothing of this copy ran", "%d not-repeatable requests are remembered here", MaxEntries)
+	if earlier == nil && len(t.entries) >= MaxEntries {
+		return nil, duplicate, problem.New(problem.Overloaded, "retry later or at another instance; nothing of this copy ran", "the table of non-repeatable requests is full (%d entries)", MaxEntries)
 	}
 	e := &entry{fingerprint: fingerprint, done: make(chan struct{})}
 	t.entries[key] = e
-	if before != nil {
-		return e, again, nil
+	if earlier != nil {
+		return e, retry, nil
 	}
 	return e, first, nil
 }
@@ -120,20 +118,20 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e.result = ran.Result
-	e.until = t.clock.Now().Add(Retention)
-	e.released = !ran.Final || ran.Result.Outcome == request.NotRun
+	e.expiresAt = t.clock.Now().Add(Retention)
+	e.retryable = !ran.Final || ran.Result.Outcome == request.NotRun
 	close(e.done)
 }
 
-// sweep drops the entries whose time is up, now and then.
+// sweep removes expired entries. It does nothing if called again too soon.
 func (t *Table) sweep() {
 	now := t.clock.Now()
-	if now.Sub(t.swept) < Retention/20 {
+	if now.Sub(t.lastSweep) < Retention/20 {
 		return
 	}
-	t.swept = now
+	t.lastSweep = now
 	for key, e := range t.entries {
-		if !e.until.IsZero() && now.After(e.until) {
+		if !e.expiresAt.IsZero() && now.After(e.expiresAt) {
 			delete(t.entries, key)
 		}
 	}
--- a/pkg/once/ticket.go
+++ b/pkg/once/ticket.go
@@ -11,24 +11,24 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
-// TicketLife is how long a ticket may be used. It is far shorter than Retention, so
-// that no ticket outlives the memory of its use.
+// TicketLife is how long a ticket is valid. It is much shorter than Retention, so that the table
+// still holds the record of a ticket's use when the ticket expires.
 const TicketLife = 2 * time.Minute
 
-// Holder is one incarnation of one instance.
+// Holder identifies one incarnation of an instance.
 type Holder struct {
 	Instance    string `json:"instance"`
 	Incarnation uint64 `json:"incarnation"`
-	// PeerAddress is where the other instances reach it.
+	// PeerAddress is the address for other instances.
 	PeerAddress string `json:"peer_address"`
 }
 
-// Same tells whether two holders are the same incarnation of the same instance.
+// Same reports whether two holders are the same incarnation of the same instance.
 func (h Holder) Same(other Holder) bool {
 	return h.Instance == other.Instance && h.Incarnation == other.Incarnation
 }
 
-// Ticket says which holder alone may run a request.
+// Ticket names the only holder that may run a request.
 type Ticket struct {
 	Organisation string `json:"organisation"`
 	ID           string `json:"id"`
@@ -36,35 +36,35 @@
 	UntilMs      int64  `json:"until_ms"`
 }
 
-// Seal returns the ticket as text, signed with the secret that all instances share.
+// Sign returns the encoded ticket, signed with the secret shared by all instances.
 func (t Ticket) Seal(secret string) string {
 	body, _ := json.Marshal(t)
 	return encode(body) + "." + encode(sign(body, secret))
 }
 
-// Open checks a sealed ticket against the request that came with it.
+// Verify decodes a signed ticket and checks it against the request it came with.
 func Open(text, secret string, key Key, now time.Time) (Ticket, error) {
 	body, signature, found := strings.Cut(text, ".")
 	data, bodyErr := base64.RawURLEncoding.DecodeString(body)
 	given, signatureErr := base64.RawURLEncoding.DecodeString(signature)
 	if !found || bodyErr != nil || signatureErr != nil || !hmac.Equal(given, sign(data, secret)) {
-		return Ticket{}, badTicket("is not one of this system's")
+		return Ticket{}, invalidTicket("has no valid signature")
 	}
 	var t Ticket
 	if err := json.Unmarshal(data, &t); err != nil {
-		return Ticket{}, badTicket("does not parse")
+		return Ticket{}, invalidTicket("can't be decoded")
 	}
 	if t.Organisation != key.Organisation || t.ID != key.ID {
-		return Ticket{}, badTicket("is for another request")
+		return Ticket{}, invalidTicket("was issued for a different request")
 	}
 	if now.UnixMilli() > t.UntilMs {
-		return Ticket{}, problem.New(problem.Deadline, "find out from its effect whether the request ran before asking anew", "the ticket of request %s has ended", key.ID)
+		return Ticket{}, problem.New(problem.Deadline, "check the effect of the request before sending it again", "the ticket of request %s has expired", key.ID)
 	}
 	return t, nil
 }
 
-func badTicket(why string) error {
-	return problem.New(problem.Invalid, "send the ticket unchanged with the request it was given for", "the ticket %s", why)
+func invalidTicket(why string) error {
+	return problem.New(problem.Invalid, "send the ticket unchanged with the request it was issued for", "the ticket %s", why)
 }
 
 func sign(body []byte, secret string) []byte {
