--- a/cmd/cobaltcroftd/daemon/daemon.go
+++ b/cmd/cobaltcroftd/daemon/daemon.go
@@ -47,7 +47,7 @@
 	metrics     *metrics.Set
 	usage       *peers.Usage
 	ring        *timeline.Ring
-	shares      *limits.Shares
+	shares      *limits.Splitter
 	incarnation uint64
 	stopping    atomic.Bool
 }
@@ -67,7 +67,7 @@
 		metrics:     set,
 		usage:       peers.NewUsage(set),
 		ring:        timeline.NewRing(s.Instance, timeline.NewClock(clock), timeline.DefaultCapacity),
-		shares:      limits.NewShares(clock),
+		shares:      limits.NewSplitter(clock),
 		incarnation: uint64(clock.Now().UnixNano()),
 	}
 	d := &Daemon{kernel: kernel.New(), log: logs.For("daemon")}
--- a/pkg/control/view.go
+++ b/pkg/control/view.go
@@ -18,7 +18,7 @@
 	Plans map[string]*decision.Plan
 	// Instances is the number of live instances, this one included, in the own
 	// failure domain and in all.
-	Instances limits.Size
+	Instances limits.InstanceCounts
 	// Confirmed is set once the configuration is known to be as new as can be
 	// found out; before, nothing is served.
 	Confirmed bool
--- a/pkg/limits/shares.go
+++ b/pkg/limits/shares.go
@@ -40,11 +40,11 @@
 }
 
 // InstanceCounts is the number of instances in the failure domain and in total.
-type Size struct{ Domain, All int }
+type InstanceCounts struct{ Domain, All int }
 
 // Splitter tracks the demand at this instance and at its peers in the failure domain. It is safe
 // for concurrent use.
-type Shares struct {
+type Splitter struct {
 	mu    sync.Mutex
 	clock clockwork.Clock
 	own   map[uint32]*counter
@@ -72,8 +72,8 @@
 }
 
 // NewSplitter returns a splitter without any demand.
-func NewShares(clock clockwork.Clock) *Shares {
-	return &Shares{clock: clock, own: map[uint32]*counter{}, peers: map[string]*peer{}}
+func NewSplitter(clock clockwork.Clock) *Splitter {
+	return &Splitter{clock: clock, own: map[uint32]*counter{}, peers: map[string]*peer{}}
 }
 
 // Hash returns the identifier of an organisation in a Demand.
@@ -95,7 +95,7 @@
 
 // Allow counts a request offered by an organisation and reports whether it is within this
 // instance's part of the rate.
-func (s *Shares) Allow(organisation string, perSecond float64, size Size) bool {
+func (s *Splitter) Allow(organisation string, perSecond float64, counts InstanceCounts) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
@@ -106,23 +106,23 @@
 		s.own[id] = c
 	}
 	c.add(now)
-	part := s.limit(id, perSecond, size)
+	part := s.limit(id, perSecond, counts)
 	c.limiter.SetLimitAt(now, rate.Limit(part))
 	c.limiter.SetBurstAt(now, max(minBurst, int(part*burstSeconds)))
 	return c.limiter.AllowN(now, 1)
 }
 
 // Limit returns this instance's part of an organisation's rate.
-func (s *Shares) Limit(organisation string, perSecond float64, size Size) float64 {
+func (s *Splitter) Limit(organisation string, perSecond float64, counts InstanceCounts) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.limit(Hash(organisation), perSecond, size)
+	return s.limit(Hash(organisation), perSecond, counts)
 }
 
-func (s *Shares) limit(id uint32, perSecond float64, size Size) float64 {
-	each := perSecond / float64(max(size.All, size.Domain, 1))
+func (s *Splitter) limit(id uint32, perSecond float64, counts InstanceCounts) float64 {
+	each := perSecond / float64(max(counts.All, counts.Domain, 1))
 	// Peers that have not reported may each use an equal part.
-	known := float64(max(size.Domain-s.silent(size), 1))
+	known := float64(max(counts.Domain-s.silent(counts), 1))
 	own, total := s.demand(id)
 	if total <= 0 {
 		return each
@@ -131,7 +131,7 @@
 }
 
 // silent is the number of live peers without a recent report.
-func (s *Shares) silent(size Size) int {
+func (s *Splitter) silent(counts InstanceCounts) int {
 	now := s.clock.Now()
 	reported := 0
 	for _, n := range s.peers {
@@ -139,11 +139,11 @@
 			reported++
 		}
 	}
-	return max(size.Domain-1-reported, 0)
+	return max(counts.Domain-1-reported, 0)
 }
 
 // demand returns the demand at this instance and in the failure domain.
-func (s *Shares) demand(id uint32) (own, total float64) {
+func (s *Splitter) demand(id uint32) (own, total float64) {
 	now := s.clock.Now()
 	if c := s.own[id]; c != nil {
 		own = c.rate(now)
@@ -158,7 +158,7 @@
 }
 
 // Demands returns the demands for the next heartbeat, in rotation if there are too many.
-func (s *Shares) Named() []Demand {
+func (s *Splitter) Demands() []Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
@@ -185,7 +185,7 @@
 }
 
 // SetPeerDemands records the demands that a peer reported. The list may be empty.
-func (s *Shares) Heard(instance string, demands []Demand) {
+func (s *Splitter) SetPeerDemands(instance string, demands []Demand) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.peers[instance]
--- a/pkg/limits/shares_test.go
+++ b/pkg/limits/shares_test.go
@@ -20,14 +20,14 @@
 // fleet simulates instances of one failure domain that exchange their demands once per second.
 type fleet struct {
 	clock       *clockwork.FakeClock
-	shares      []*limits.Shares
+	splitters   []*limits.Splitter
 	partitioned bool
 }
 
 func newFleet(n int) *fleet {
 	f := &fleet{clock: clockwork.NewFakeClock()}
 	for range n {
-		f.shares = append(f.shares, limits.NewShares(f.clock))
+		f.splitters = append(f.splitters, limits.NewSplitter(f.clock))
 	}
 	return f
 }
@@ -43,7 +43,7 @@
 	for range seconds {
 		for range steps {
 			f.clock.Advance(time.Second / steps)
-			for i := range f.shares {
+			for i := range f.splitters {
 				for owed[i] += perSecond[i] / steps; owed[i] >= 1; owed[i]-- {
 					count += f.offer(i)
 				}
@@ -55,7 +55,7 @@
 }
 
 func (f *fleet) offer(i int) int {
-	if f.shares[i].Allow("huila", limit, limits.Size{Domain: len(f.shares), All: len(f.shares)}) {
+	if f.splitters[i].Allow("huila", limit, limits.InstanceCounts{Domain: len(f.splitters), All: len(f.splitters)}) {
 		return 1
 	}
 	return 0
@@ -65,11 +65,11 @@
 	if f.partitioned {
 		return
 	}
-	for i, from := range f.shares {
-		demands := from.Named()
-		for j, to := range f.shares {
+	for i, from := range f.splitters {
+		demands := from.Demands()
+		for j, to := range f.splitters {
 			if i != j {
-				to.Heard(fmt.Sprint(i), demands)
+				to.SetPeerDemands(fmt.Sprint(i), demands)
 			}
 		}
 	}
@@ -110,25 +110,25 @@
 	})
 
 	It("is split equally while no demand is known", func() {
-		s := limits.NewShares(clockwork.NewFakeClock())
-		Expect(s.Limit("huila", 100, limits.Size{Domain: 4, All: 20})).To(Equal(5.0))
+		s := limits.NewSplitter(clockwork.NewFakeClock())
+		Expect(s.Limit("huila", 100, limits.InstanceCounts{Domain: 4, All: 20})).To(Equal(5.0))
 	})
 
 	It("ignores expired demand, and sends many demands in rotation", func() {
 		clock := clockwork.NewFakeClock()
-		s := limits.NewShares(clock)
-		s.Allow("huila", 100, limits.Size{Domain: 2, All: 2})
-		s.Heard("x", []limits.Demand{{Organisation: limits.Hash("huila"), PerSecond: 1000}})
-		before := s.Limit("huila", 100, limits.Size{Domain: 2, All: 2})
+		s := limits.NewSplitter(clock)
+		s.Allow("huila", 100, limits.InstanceCounts{Domain: 2, All: 2})
+		s.SetPeerDemands("x", []limits.Demand{{Organisation: limits.Hash("huila"), PerSecond: 1000}})
+		before := s.Limit("huila", 100, limits.InstanceCounts{Domain: 2, All: 2})
 		clock.Advance(time.Minute)
-		s.Allow("huila", 100, limits.Size{Domain: 1, All: 1})
-		Expect(s.Limit("huila", 100, limits.Size{Domain: 1, All: 1})).To(BeNumerically(">", before))
+		s.Allow("huila", 100, limits.InstanceCounts{Domain: 1, All: 1})
+		Expect(s.Limit("huila", 100, limits.InstanceCounts{Domain: 1, All: 1})).To(BeNumerically(">", before))
 		for i := range 10 {
-			s.Allow(fmt.Sprint(i), 100, limits.Size{Domain: 2, All: 2})
+			s.Allow(fmt.Sprint(i), 100, limits.InstanceCounts{Domain: 2, All: 2})
 		}
 		demands := map[uint32]bool{}
 		for range 5 {
-			for _, d := range s.Named() {
+			for _, d := range s.Demands() {
 				demands[d.Organisation] = true
 			}
 		}
--- a/pkg/traffic/executor.go
+++ b/pkg/traffic/executor.go
@@ -34,7 +34,7 @@
 	Log     *logrus.Entry
 	Metrics *Metrics
 	// Shares splits the organisations' rates over the instances.
-	Shares *limits.Shares
+	Shares *limits.Splitter
 	// MaxInFlight bounds the requests in flight.
 	MaxInFlight int
 	// Baseline makes retries as simple as the baseline policies are: one retry,
--- a/pkg/traffic/suite_test.go
+++ b/pkg/traffic/suite_test.go
@@ -171,7 +171,7 @@
 		Ring:        b.ring,
 		Log:         logging.Discard().For("traffic"),
 		Metrics:     traffic.NewMetrics(metrics.NewSet()),
-		Shares:      limits.NewShares(clock),
+		Shares:      limits.NewSplitter(clock),
 		MaxInFlight: 100,
 	})
 	return b, func() {
@@ -218,7 +218,7 @@
 		}
 		plans[p.Name] = decision.NewPlan(steps)
 	}
-	return &control.View{Configuration: configuration, Pools: b.pools, Plans: plans, Instances: limits.Size{Domain: 1, All: 1}, Confirmed: true}
+	return &control.View{Configuration: configuration, Pools: b.pools, Plans: plans, Instances: limits.InstanceCounts{Domain: 1, All: 1}, Confirmed: true}
 }
 
 func (b *bench) makePools() {
--- a/pkg/traffic/usage.go
+++ b/pkg/traffic/usage.go
@@ -15,15 +15,15 @@
 	total  int
 	max    int
 	orgs   map[string]int
-	shares *limits.Shares
+	shares *limits.Splitter
 }
 
-func newUsage(maxInFlight int, shares *limits.Shares) *usage {
+func newUsage(maxInFlight int, shares *limits.Splitter) *usage {
 	return &usage{max: maxInFlight, orgs: map[string]int{}, shares: shares}
 }
 
 // enter counts a request in, or says why it may not run.
-func (u *usage) enter(o *config.Organisation, instances limits.Size) error {
+func (u *usage) enter(o *config.Organisation, instances limits.InstanceCounts) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.total >= u.max {
--- a/service/peers/gossip.go
+++ b/service/peers/gossip.go
@@ -21,7 +21,7 @@
 	conn     *net.UDPConn
 	secret   []byte
 	clock    *timeline.Clock
-	shares   *limits.Shares
+	shares   *limits.Splitter
 	log      *logrus.Entry
 	onBehind func(peer membership.Self, revision uint64)
 	sent     *metrics.Counter
@@ -34,7 +34,7 @@
 // NewGossip returns a gossip over conn, which tells the demands of shares and takes in
 // those of the own failure domain. onBehind is called, and must not block, when
 // a peer has a newer configuration.
-func NewGossip(conn *net.UDPConn, secret string, clock *timeline.Clock, shares *limits.Shares, set *metrics.Set, log *logrus.Entry, onBehind func(membership.Self, uint64)) *Gossip {
+func NewGossip(conn *net.UDPConn, secret string, clock *timeline.Clock, shares *limits.Splitter, set *metrics.Set, log *logrus.Entry, onBehind func(membership.Self, uint64)) *Gossip {
 	return &Gossip{
 		conn:     conn,
 		secret:   []byte(secret),
@@ -53,7 +53,7 @@
 
 // Broadcast implements control.Peers.
 func (g *Gossip) Broadcast(h membership.Heartbeat, leaving []control.LeavingEndpoint, to []string) {
-	data, err := encode(beat{heartbeat: h, leaving: leaving, demands: g.shares.Named(), stamp: g.clock.Now()}, g.secret)
+	data, err := encode(beat{heartbeat: h, leaving: leaving, demands: g.shares.Demands(), stamp: g.clock.Now()}, g.secret)
 	if err != nil {
 		g.log.WithField("event", "heartbeat_not_encoded").Error(err)
 		return
@@ -105,7 +105,7 @@
 		}
 		g.clock.Observe(b.stamp)
 		if b.heartbeat.From.FailureDomain == c.Self().FailureDomain {
-			g.shares.Heard(b.heartbeat.From.Name, b.demands)
+			g.shares.SetPeerDemands(b.heartbeat.From.Name, b.demands)
 		}
 		c.Heard(b.heartbeat, b.leaving)
 	}
--- a/service/peers/gossip_test.go
+++ b/service/peers/gossip_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	clock := clockwork.NewRealClock()
-	g := NewGossip(conn, "a shared token", timeline.NewClock(clock), limits.NewShares(clock), metrics.NewSet(), logging.Discard().For("peers"), nil)
+	g := NewGossip(conn, "a shared token", timeline.NewClock(clock), limits.NewSplitter(clock), metrics.NewSet(), logging.Discard().For("peers"), nil)
 	var alive tomb.Tomb
 	ended := make(chan struct{})
 	go func() {
