--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -89,7 +89,7 @@
 	gossip   *peers.Gossip
 	follower *discovery.Follower
 	// rests are those that endpoints want from this machine.
-	rests *notice.Rests
+	rests *notice.Backoffs
 	// limited has the limits that endpoints name for all instances.
 	limited *throttle.Table
 	// permits have all instances together heed them.
@@ -225,7 +225,7 @@
 	g.limited = throttle.NewTable(g.clock, g.logs.For("throttle"))
 	granting := &handover.Permits{Client: g.client, Instance: self, Stopping: g.stopping.begun, Members: g.group.Live, Departing: g.group.Leaving}
 	g.permits = throttle.NewLimiter(g.limited, granting, g.domainOf, g.clock, g.logs.For("throttle"))
-	g.rests = notice.NewRests(g.clock, g.permits, g.logs.For("notice"))
+	g.rests = notice.NewBackoffs(g.clock, g.permits, g.logs.For("notice"))
 	g.metrics.NewGauge("cobaltcroft_endpoints_limited", func() float64 { return float64(g.limited.Count()) })
 	g.conns = httpconn.NewPool(g.clock, g.metrics, httpconn.Gates{Connect: g.mayConnect, Send: g.maySend, Spend: g.spend}, g.heardAnswer)
 	g.balancer = balance.New(g.clock, g.rests)
@@ -325,7 +325,7 @@
 // known is what the batcher knows of services and endpoints.
 type known struct {
 	follower *discovery.Follower
-	rests    *notice.Rests
+	rests    *notice.Backoffs
 }
 
 // Batching implements batch.Known.
@@ -346,7 +346,7 @@
 }
 
 // Rest implements batch.Known.
-func (k known) Rest(id string) time.Duration { return k.rests.Left(id) }
+func (k known) Rest(id string) time.Duration { return k.rests.Remaining(id) }
 
 // Run runs the instance until it has stopped as planned.
 func (g *Gateway) Run(signals <-chan os.Signal) error {
--- a/cmd/cobaltcroftd/gateway/notices.go
+++ b/cmd/cobaltcroftd/gateway/notices.go
@@ -18,7 +18,7 @@
 // maySend is the gate of all calls to endpoints, requests, pieces, reports and frees alike: one that wants
 // rest from this machine gets none.
 func (g *Gateway) maySend(target httpconn.Target) error {
-	left := g.rests.Left(target.ID)
+	left := g.rests.Remaining(target.ID)
 	if left == 0 {
 		return nil
 	}
@@ -46,12 +46,12 @@
 	if n.Leaving {
 		g.follower.Depart(discovery.Answer, target.ID)
 	}
-	if n.Rest > 0 {
-		g.rests.Ask(target.ID, n.Rest)
+	if n.Backoff > 0 {
+		g.rests.Start(target.ID, n.Backoff)
 	}
-	if n.Unread != "" {
+	if n.Malformed != "" {
 		g.unread.Inc()
-		g.log.WithFields(logrus.Fields{"event": "notice_unread", "endpoint": target.ID, "status": status, "text": n.Unread}).Warn("it is passed over; a rest is in seconds, a limit in requests a second")
+		g.log.WithFields(logrus.Fields{"event": "notice_unread", "endpoint": target.ID, "status": status, "text": n.Malformed}).Warn("it is passed over; a rest is in seconds, a limit in requests a second")
 	}
 	switch {
 	case n.Limited:
--- a/pkg/balance/backoff_test.go
+++ b/pkg/balance/backoff_test.go
@@ -15,7 +15,7 @@
 var _ = Describe("endpoints that are backing off", func() {
 	var (
 		clock    *clockwork.FakeClock
-		backoffs *notice.Rests
+		backoffs *notice.Backoffs
 		b        *balance.Balancer
 	)
 	all := []fleet.Endpoint{{ID: "a", FailureDomain: "d"}, {ID: "b", FailureDomain: "d"}}
@@ -28,7 +28,7 @@
 
 	DescribeTable("are not selected",
 		func(need balance.CallSpec) {
-			backoffs.Ask("a", time.Second)
+			backoffs.Start("a", time.Second)
 			for range 20 {
 				call := b.Pick(all, need)
 				Expect(call.Endpoint.ID).To(Equal("b"))
@@ -45,7 +45,7 @@
 	)
 
 	It("are not used as a last resort, unlike ejected endpoints", func() {
-		backoffs.Ask("a", 3*time.Second)
+		backoffs.Start("a", 3*time.Second)
 		for range 2 {
 			b.Pick(all, balance.CallSpec{}).End(balance.Unreachable, nil)
 		}
@@ -54,7 +54,7 @@
 		Expect(call.Endpoint.ID).To(Equal("b"))
 		call.End(balance.Canceled, nil)
 		Expect(b.Backoff(all)).To(BeZero())
-		backoffs.Ask("b", 2*time.Second)
+		backoffs.Start("b", 2*time.Second)
 		Expect(b.Pick(all, balance.CallSpec{})).To(BeNil())
 		Expect(b.Backoff(all)).To(Equal(2 * time.Second))
 		expected, _ := b.Estimate(all, balance.CallSpec{})
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -15,8 +15,8 @@
 )
 
 // noBackoffs returns an empty set of backoffs.
-func noBackoffs(clock clockwork.Clock) *notice.Rests {
-	return notice.NewRests(clock, notice.Unlimited{}, logging.Discard().For("balance"))
+func noBackoffs(clock clockwork.Clock) *notice.Backoffs {
+	return notice.NewBackoffs(clock, notice.Unlimited{}, logging.Discard().For("balance"))
 }
 
 func TestBalance(t *testing.T) {
--- a/pkg/balance/balancer.go
+++ b/pkg/balance/balancer.go
@@ -83,7 +83,7 @@
 	clock clockwork.Clock
 	// backoffs excludes endpoints that asked this instance to back off, even if no other endpoint
 	// remains.
-	backoffs *notice.Rests
+	backoffs *notice.Backoffs
 
 	mu        sync.Mutex
 	endpoints map[string]*endpointState
@@ -122,7 +122,7 @@
 }
 
 // New returns a balancer without observations.
-func New(clock clockwork.Clock, backoffs *notice.Rests) *Balancer {
+func New(clock clockwork.Clock, backoffs *notice.Backoffs) *Balancer {
 	return &Balancer{clock: clock, backoffs: backoffs, endpoints: map[string]*endpointState{}, silentUntil: map[string]time.Time{}}
 }
 
@@ -433,12 +433,12 @@
 
 // Backoff is the time until the first of the endpoints accepts calls again, or 0 if one does now.
 func (b *Balancer) Backoff(endpoints []fleet.Endpoint) time.Duration {
-	return b.backoffs.Least(endpoints)
+	return b.backoffs.MinRemaining(endpoints)
 }
 
 // RetryAfter suggests when a caller should retry if all endpoints are backing off.
 func (b *Balancer) RetryAfter(endpoints []fleet.Endpoint, window time.Duration) time.Duration {
-	return b.backoffs.Return(endpoints, window)
+	return b.backoffs.RetryAfter(endpoints, window)
 }
 
 // Limited reports whether a shared rate limit currently blocks calls to any of the endpoints.
--- a/pkg/balance/cold.go
+++ b/pkg/balance/cold.go
@@ -81,7 +81,7 @@
 // usable filters out endpoints that are backing off. Of the remaining ones it returns the warm
 // endpoints or, if there are none, the cold ones that this instance may call now.
 func (b *Balancer) usable(now time.Time, candidates []fleet.Endpoint, spec CallSpec) []fleet.Endpoint {
-	candidates = b.backoffs.Awake(candidates)
+	candidates = b.backoffs.Available(candidates)
 	if spec.Cold.PerSecond <= 0 || !b.updateCold(now, candidates) {
 		return candidates
 	}
--- a/pkg/batch/resting.go
+++ b/pkg/batch/resting.go
@@ -20,5 +20,5 @@
 
 // leastRest is how long it takes until the first of the workers' endpoints wants calls; 0 if one does.
 func (b *Batcher) leastRest(workers []*worker) time.Duration {
-	return notice.Least(workers, func(w *worker) time.Duration { return b.known.Rest(w.endpoint.ID) })
+	return notice.MinRemaining(workers, func(w *worker) time.Duration { return b.known.Rest(w.endpoint.ID) })
 }
--- a/pkg/notice/notice.go
+++ b/pkg/notice/notice.go
@@ -10,7 +10,7 @@
 	// Leaving: the endpoint is shutting down and accepts no new work.
 	Leaving bool
 	// Backoff is how long this instance must not call the endpoint; 0 if not given.
-	Rest time.Duration
+	Backoff time.Duration
 	// Limited: the endpoint accepts at most Limit requests per second from all instances together.
 	Limited bool
 	Limit   float64
@@ -19,5 +19,5 @@
 	Unlimited bool
 	// Malformed is the text of a backoff or limit that could not be parsed; empty if there was
 	// none.
-	Unread string
+	Malformed string
 }
--- a/pkg/notice/rests.go
+++ b/pkg/notice/rests.go
@@ -33,7 +33,7 @@
 // Backoffs tracks until when this instance must not call endpoints, because of a requested backoff
 // or a shared rate limit. An earlier call would be rejected and use up an attempt. Requested
 // backoffs apply to this instance only and are not shared. Backoffs is safe for concurrent use.
-type Rests struct {
+type Backoffs struct {
 	clock  clockwork.Clock
 	limits Limits
 	log    *logrus.Entry
@@ -46,44 +46,44 @@
 }
 
 // NewBackoffs returns an empty set of backoffs on top of limits.
-func NewRests(clock clockwork.Clock, limits Limits, log *logrus.Entry) *Rests {
-	return &Rests{clock: clock, limits: limits, log: log, until: map[string]time.Time{}}
+func NewBackoffs(clock clockwork.Clock, limits Limits, log *logrus.Entry) *Backoffs {
+	return &Backoffs{clock: clock, limits: limits, log: log, until: map[string]time.Time{}}
 }
 
 // Start begins a backoff of an endpoint. If one is active, the later end applies.
-func (r *Rests) Ask(endpoint string, rest time.Duration) {
-	until := r.clock.Now().Add(rest)
-	r.mu.Lock()
-	if until.After(r.until[endpoint]) {
-		r.until[endpoint] = until
+func (b *Backoffs) Start(endpoint string, rest time.Duration) {
+	until := b.clock.Now().Add(rest)
+	b.mu.Lock()
+	if until.After(b.until[endpoint]) {
+		b.until[endpoint] = until
 	}
-	r.active.Store(int64(len(r.until)))
-	r.mu.Unlock()
-	r.log.WithFields(logrus.Fields{"event": "endpoint_rests", "endpoint": endpoint, "ms": rest.Milliseconds()}).Info()
+	b.active.Store(int64(len(b.until)))
+	b.mu.Unlock()
+	b.log.WithFields(logrus.Fields{"event": "endpoint_rests", "endpoint": endpoint, "ms": rest.Milliseconds()}).Info()
 }
 
 // Remaining is the time until an endpoint may be called; 0 if it may be called now.
-func (r *Rests) Left(endpoint string) time.Duration {
-	return max(r.found(endpoint), r.limits.Delay(endpoint))
+func (b *Backoffs) Remaining(endpoint string) time.Duration {
+	return max(b.found(endpoint), b.limits.Delay(endpoint))
 }
 
 // requested is the remaining time of the backoff that an endpoint requested.
-func (r *Rests) found(endpoint string) time.Duration {
-	if r.active.Load() == 0 {
+func (b *Backoffs) found(endpoint string) time.Duration {
+	if b.active.Load() == 0 {
 		return 0
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	until, found := r.until[endpoint]
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	until, found := b.until[endpoint]
 	if !found {
 		return 0
 	}
-	return max(0, until.Sub(r.clock.Now()))
+	return max(0, until.Sub(b.clock.Now()))
 }
 
 // MinRemaining returns the shortest remaining time of the given items, or 0 if one has none or the
 // list is empty.
-func Least[T any](items []T, remaining func(T) time.Duration) time.Duration {
+func MinRemaining[T any](items []T, remaining func(T) time.Duration) time.Duration {
 	least := time.Duration(0)
 	for _, item := range items {
 		t := remaining(item)
@@ -98,23 +98,23 @@
 }
 
 // MinRemaining is the time until the first of the endpoints may be called.
-func (r *Rests) Least(endpoints []fleet.Endpoint) time.Duration {
-	return Least(endpoints, func(e fleet.Endpoint) time.Duration { return r.Left(e.ID) })
+func (b *Backoffs) MinRemaining(endpoints []fleet.Endpoint) time.Duration {
+	return MinRemaining(endpoints, func(e fleet.Endpoint) time.Duration { return b.Remaining(e.ID) })
 }
 
 // Limited reports whether a shared rate limit blocks calls to any of the endpoints.
-func (r *Rests) Limited(endpoints []fleet.Endpoint) bool {
-	return r.limits.Any() && slices.ContainsFunc(endpoints, func(e fleet.Endpoint) bool { return r.limits.Delay(e.ID) > 0 })
+func (b *Backoffs) Limited(endpoints []fleet.Endpoint) bool {
+	return b.limits.Any() && slices.ContainsFunc(endpoints, func(e fleet.Endpoint) bool { return b.limits.Delay(e.ID) > 0 })
 }
 
 // RetryAfter suggests when a caller should retry if all endpoints are backing off. It picks at
 // random among the backoffs that end within window of the first, so that callers do not all return
 // to the same endpoint at the same time.
-func (r *Rests) Return(endpoints []fleet.Endpoint, window time.Duration) time.Duration {
-	first := r.Least(endpoints)
+func (b *Backoffs) RetryAfter(endpoints []fleet.Endpoint, window time.Duration) time.Duration {
+	first := b.MinRemaining(endpoints)
 	var candidates []time.Duration
 	for _, e := range endpoints {
-		if left := r.Left(e.ID); left <= first+window {
+		if left := b.Remaining(e.ID); left <= first+window {
 			candidates = append(candidates, left)
 		}
 	}
@@ -125,20 +125,20 @@
 }
 
 // Available returns the endpoints that may be called now. It returns the given slice if all may.
-func (r *Rests) Awake(endpoints []fleet.Endpoint) []fleet.Endpoint {
-	if r.active.Load() == 0 && !r.limits.Any() {
+func (b *Backoffs) Available(endpoints []fleet.Endpoint) []fleet.Endpoint {
+	if b.active.Load() == 0 && !b.limits.Any() {
 		return endpoints
 	}
-	return fleet.Except(endpoints, func(e fleet.Endpoint) bool { return r.Left(e.ID) > 0 })
+	return fleet.Except(endpoints, func(e fleet.Endpoint) bool { return b.Remaining(e.ID) > 0 })
 }
 
 // List returns the remaining time of each requested backoff.
-func (r *Rests) List() map[string]time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.clock.Now()
-	list := make(map[string]time.Duration, len(r.until))
-	for endpoint, until := range r.until {
+func (b *Backoffs) List() map[string]time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.clock.Now()
+	list := make(map[string]time.Duration, len(b.until))
+	for endpoint, until := range b.until {
 		if now.Before(until) {
 			list[endpoint] = until.Sub(now)
 		}
@@ -147,17 +147,17 @@
 }
 
 // Count returns the number of stored backoffs.
-func (r *Rests) Count() int { return int(r.active.Load()) }
+func (b *Backoffs) Count() int { return int(b.active.Load()) }
 
 // Sweep removes expired backoffs.
-func (r *Rests) Sweep() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.clock.Now()
-	for endpoint, until := range r.until {
+func (b *Backoffs) Sweep() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.clock.Now()
+	for endpoint, until := range b.until {
 		if !now.Before(until) {
-			delete(r.until, endpoint)
+			delete(b.until, endpoint)
 		}
 	}
-	r.active.Store(int64(len(r.until)))
+	b.active.Store(int64(len(b.until)))
 }
--- a/pkg/notice/rests_test.go
+++ b/pkg/notice/rests_test.go
@@ -28,13 +28,13 @@
 var _ = Describe("endpoint backoffs", func() {
 	var (
 		clock    *clockwork.FakeClock
-		backoffs *notice.Rests
+		backoffs *notice.Backoffs
 	)
 	endpoints := []fleet.Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
-		backoffs = notice.NewRests(clock, notice.Unlimited{}, logging.Discard().For("notice"))
+		backoffs = notice.NewBackoffs(clock, notice.Unlimited{}, logging.Discard().For("notice"))
 	})
 
 	ids := func(endpoints []fleet.Endpoint) []string {
@@ -46,52 +46,52 @@
 	}
 
 	It("end after the requested time", func() {
-		backoffs.Ask("a", 3*time.Second)
-		Expect(backoffs.Left("a")).To(Equal(3 * time.Second))
-		Expect(backoffs.Left("b")).To(BeZero())
+		backoffs.Start("a", 3*time.Second)
+		Expect(backoffs.Remaining("a")).To(Equal(3 * time.Second))
+		Expect(backoffs.Remaining("b")).To(BeZero())
 		clock.Advance(2999 * time.Millisecond)
-		Expect(backoffs.Left("a")).To(Equal(time.Millisecond))
+		Expect(backoffs.Remaining("a")).To(Equal(time.Millisecond))
 		clock.Advance(time.Millisecond)
-		Expect(backoffs.Left("a")).To(BeZero())
+		Expect(backoffs.Remaining("a")).To(BeZero())
 	})
 
 	It("extend to the later of two ends", func() {
-		backoffs.Ask("a", 3*time.Second)
+		backoffs.Start("a", 3*time.Second)
 		clock.Advance(time.Second)
-		backoffs.Ask("a", time.Second)
-		Expect(backoffs.Left("a")).To(Equal(2*time.Second), "a shorter one does not shorten it")
-		backoffs.Ask("a", 5*time.Second)
-		Expect(backoffs.Left("a")).To(Equal(5 * time.Second))
+		backoffs.Start("a", time.Second)
+		Expect(backoffs.Remaining("a")).To(Equal(2*time.Second), "a shorter one does not shorten it")
+		backoffs.Start("a", 5*time.Second)
+		Expect(backoffs.Remaining("a")).To(Equal(5 * time.Second))
 	})
 
 	It("exclude endpoints until they end", func() {
-		Expect(backoffs.Awake(endpoints)).To(Equal(endpoints))
-		backoffs.Ask("b", time.Second)
-		Expect(ids(backoffs.Awake(endpoints))).To(HaveExactElements("a", "c"))
-		backoffs.Ask("a", time.Second)
-		backoffs.Ask("c", time.Second)
-		Expect(backoffs.Awake(endpoints)).To(BeEmpty())
+		Expect(backoffs.Available(endpoints)).To(Equal(endpoints))
+		backoffs.Start("b", time.Second)
+		Expect(ids(backoffs.Available(endpoints))).To(HaveExactElements("a", "c"))
+		backoffs.Start("a", time.Second)
+		backoffs.Start("c", time.Second)
+		Expect(backoffs.Available(endpoints)).To(BeEmpty())
 		clock.Advance(time.Second)
-		Expect(ids(backoffs.Awake(endpoints))).To(HaveExactElements("a", "b", "c"))
+		Expect(ids(backoffs.Available(endpoints))).To(HaveExactElements("a", "b", "c"))
 	})
 
 	It("report the first end if all endpoints have one", func() {
-		Expect(backoffs.Least(nil)).To(BeZero())
-		backoffs.Ask("a", 3*time.Second)
-		backoffs.Ask("b", 2*time.Second)
-		Expect(backoffs.Least(endpoints)).To(BeZero(), "one wants none")
-		backoffs.Ask("c", 4*time.Second)
-		Expect(backoffs.Least(endpoints)).To(Equal(2 * time.Second))
+		Expect(backoffs.MinRemaining(nil)).To(BeZero())
+		backoffs.Start("a", 3*time.Second)
+		backoffs.Start("b", 2*time.Second)
+		Expect(backoffs.MinRemaining(endpoints)).To(BeZero(), "one wants none")
+		backoffs.Start("c", 4*time.Second)
+		Expect(backoffs.MinRemaining(endpoints)).To(Equal(2 * time.Second))
 	})
 
 	It("distribute callers over the ends close to the first", func() {
-		backoffs.Ask("a", 2*time.Second)
-		backoffs.Ask("b", 2*time.Second+400*time.Millisecond)
-		Expect(backoffs.Return(endpoints, time.Second)).To(BeZero(), "one wants none")
-		backoffs.Ask("c", time.Minute)
+		backoffs.Start("a", 2*time.Second)
+		backoffs.Start("b", 2*time.Second+400*time.Millisecond)
+		Expect(backoffs.RetryAfter(endpoints, time.Second)).To(BeZero(), "one wants none")
+		backoffs.Start("c", time.Minute)
 		told := map[time.Duration]int{}
 		for range 200 {
-			told[backoffs.Return(endpoints, time.Second)]++
+			told[backoffs.RetryAfter(endpoints, time.Second)]++
 		}
 		Expect(told).To(HaveLen(2))
 		Expect(told[2*time.Second]).To(BeNumerically(">", 50))
@@ -101,25 +101,25 @@
 
 	It("include delays from shared rate limits", func() {
 		limits := fixedDelays{"a": time.Second, "b": 3 * time.Second}
-		backoffs = notice.NewRests(clock, limits, logging.Discard().For("notice"))
-		backoffs.Ask("b", 2*time.Second)
-		backoffs.Ask("c", 2*time.Second)
-		Expect(backoffs.Left("a")).To(Equal(time.Second))
-		Expect(backoffs.Left("b")).To(Equal(3 * time.Second))
-		Expect(backoffs.Left("c")).To(Equal(2 * time.Second))
-		Expect(backoffs.Awake(endpoints)).To(BeEmpty())
+		backoffs = notice.NewBackoffs(clock, limits, logging.Discard().For("notice"))
+		backoffs.Start("b", 2*time.Second)
+		backoffs.Start("c", 2*time.Second)
+		Expect(backoffs.Remaining("a")).To(Equal(time.Second))
+		Expect(backoffs.Remaining("b")).To(Equal(3 * time.Second))
+		Expect(backoffs.Remaining("c")).To(Equal(2 * time.Second))
+		Expect(backoffs.Available(endpoints)).To(BeEmpty())
 		Expect(backoffs.Limited(endpoints)).To(BeTrue())
 		Expect(backoffs.Limited(endpoints[2:])).To(BeFalse())
 		delete(limits, "a")
-		Expect(ids(backoffs.Awake(endpoints))).To(HaveExactElements("a"))
+		Expect(ids(backoffs.Available(endpoints))).To(HaveExactElements("a"))
 	})
 
 	It("are removed after they end", func() {
-		backoffs.Ask("a", time.Second)
-		backoffs.Ask("b", 2*time.Second)
+		backoffs.Start("a", time.Second)
+		backoffs.Start("b", 2*time.Second)
 		clock.Advance(time.Second)
 		backoffs.Sweep()
 		Expect(backoffs.Count()).To(Equal(1))
-		Expect(backoffs.Left("b")).To(Equal(time.Second))
+		Expect(backoffs.Remaining("b")).To(Equal(time.Second))
 	})
 })
