--- a/cmd/cobaltcroftd/daemon/faces.go
+++ b/cmd/cobaltcroftd/daemon/faces.go
@@ -159,7 +159,7 @@
 // Bound implements peers.Backend.
 func (s *trafficService) Bound(ctx context.Context, holder once.Holder, r request.Request) request.Result {
 	s.base.ring.Add(timeline.Event{Kind: timeline.RequestForwarded, Request: r.ID, Detail: "bound to this instance"})
-	return s.gate.Bound(ctx, holder, r)
+	return s.gate.HandleForwarded(ctx, holder, r)
 }
 
 // Status implements peers.Backend.
--- a/pkg/once/gate.go
+++ b/pkg/once/gate.go
@@ -49,7 +49,7 @@
 }
 
 // HandleForwarded runs a request that another instance forwarded to its holder.
-func (g *Gate) Bound(ctx context.Context, holder Holder, r request.Request) request.Result {
+func (g *Gate) HandleForwarded(ctx context.Context, holder Holder, r request.Request) request.Result {
 	if !holder.Same(g.Self) {
 		return request.Uncertain(r.ID, holderEnded(r.ID, holder))
 	}
@@ -63,10 +63,10 @@
 
 // runClaimed runs a request without a valid ticket of this instance if it can claim it.
 func (g *Gate) runClaimed(ctx context.Context, key Key, r request.Request) request.Result {
-	return g.Table.Do(ctx, key, fingerprint(r), func(retry bool) Ran {
+	return g.Table.Do(ctx, key, fingerprint(r), func(retry bool) RunResult {
 		holder, created, err := g.Claims.Claim(ctx, key)
 		if err != nil {
-			return Ran{Result: claimFailed(r, err)}
+			return RunResult{Result: claimFailed(r, err)}
 		}
 		return g.runOrForward(ctx, holder, created || retry, r)
 	})
@@ -75,30 +75,30 @@
 // runTicketed runs a request that its ticket binds to this instance. It needs no claim, because
 // the ticket expires before the table drops the record of its use.
 func (g *Gate) runTicketed(ctx context.Context, key Key, r request.Request) request.Result {
-	return g.Table.Do(ctx, key, fingerprint(r), func(bool) Ran {
+	return g.Table.Do(ctx, key, fingerprint(r), func(bool) RunResult {
 		return g.runOrForward(ctx, g.Self, true, r)
 	})
 }
 
 // IssueTicket returns a signed ticket that binds a request to this instance.
-func (g *Gate) Issue(key Key) string {
+func (g *Gate) IssueTicket(key Key) string {
 	ticket := Ticket{Organisation: key.Organisation, ID: key.ID, Holder: g.Self, UntilMs: g.Clock.Now().Add(TicketLife).UnixMilli()}
 	return ticket.Seal(g.Secret)
 }
 
 // runOrForward runs a request bound to this instance, or forwards it to its holder. If an earlier
 // claim exists without a record in the table, the request may have run already.
-func (g *Gate) runOrForward(ctx context.Context, holder Holder, mayRun bool, r request.Request) Ran {
+func (g *Gate) runOrForward(ctx context.Context, holder Holder, mayRun bool, r request.Request) RunResult {
 	if !holder.Same(g.Self) {
-		return Ran{Result: g.forward(ctx, holder, r)}
+		return RunResult{Result: g.forward(ctx, holder, r)}
 	}
 	if !mayRun {
-		return Ran{Result: request.Uncertain(r.ID, problem.New(problem.Unknown, "check the effect of the request before sending it with a new id", "request %s was sent to this instance before, and its result has expired", r.ID))}
+		return RunResult{Result: request.Uncertain(r.ID, problem.New(problem.Unknown, "check the effect of the request before sending it with a new id", "request %s was sent to this instance before, and its result has expired", r.ID))}
 	}
 	// Keep running if the caller leaves, because a duplicate may wait for the result.
 	detached, cancel := context.WithDeadline(context.WithoutCancel(ctx), r.Deadline)
 	defer cancel()
-	return Ran{Result: g.Run(detached, r), Final: true}
+	return RunResult{Result: g.Run(detached, r), Final: true}
 }
 
 func (g *Gate) forward(ctx context.Context, holder Holder, r request.Request) request.Result {
--- a/pkg/once/once_test.go
+++ b/pkg/once/once_test.go
@@ -37,7 +37,7 @@
 	if gate == nil || n.partitioned.Load() {
 		return request.Result{}, problem.New(problem.Unavailable, "", "cut")
 	}
-	return gate.Bound(ctx, holder, r), nil
+	return gate.HandleForwarded(ctx, holder, r), nil
 }
 
 var _ = Describe("at most once", func() {
@@ -201,7 +201,7 @@
 	Context("with a ticket", func() {
 		ticketed := func() request.Request {
 			r := renewal()
-			r.Ticket = a.Issue(once.Key{Organisation: r.Organisation, ID: r.ID})
+			r.Ticket = a.IssueTicket(once.Key{Organisation: r.Organisation, ID: r.ID})
 			return r
 		}
 
--- a/pkg/once/table.go
+++ b/pkg/once/table.go
@@ -52,7 +52,7 @@
 
 // RunResult is the result of a run. Final reports whether duplicates receive the same result,
 // which is not the case if the request was forwarded.
-type Ran struct {
+type RunResult struct {
 	Result request.Result
 	Final  bool
 }
@@ -60,7 +60,7 @@
 // Do calls run unless a request with this key is running or has run; in that case it waits for its
 // result until ctx ends. A request whose result was NotRun or not final may run again, with retry
 // set. The fingerprint detects different requests with the same key.
-func (t *Table) Do(ctx context.Context, key Key, fingerprint uint64, run func(retry bool) Ran) request.Result {
+func (t *Table) Do(ctx context.Context, key Key, fingerprint uint64, run func(retry bool) RunResult) request.Result {
 	e, arrived, err := t.begin(key, fingerprint)
 	if err != nil {
 		// A copy may have run on another instance or its record may have expired, or a different
@@ -114,7 +114,7 @@
 	return e, first, nil
 }
 
-func (t *Table) finish(e *entry, ran Ran) {
+func (t *Table) finish(e *entry, ran RunResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e.result = ran.Result
--- a/service/callers/callers.go
+++ b/service/callers/callers.go
@@ -100,7 +100,7 @@
 	if body.Organisation == "" || body.RequestID == "" || len(body.RequestID) > maxRequestID {
 		return respond(w, request.Refuse(body.RequestID, problem.New(problem.Invalid, "give organisation and request_id, of at most 128 characters", "a ticket needs both")))
 	}
-	ticket := f.Gate.Issue(once.Key{Organisation: body.Organisation, ID: body.RequestID})
+	ticket := f.Gate.IssueTicket(once.Key{Organisation: body.Organisation, ID: body.RequestID})
 	return writeJSON(w, http.StatusOK, api.Ticket{RequestID: body.RequestID, Ticket: ticket, ExpiresInMs: once.TicketLife.Milliseconds()})
 }
 
