--- a/pkg/once/gate.go
+++ b/pkg/once/gate.go
@@ -35,7 +35,7 @@
 	if r.Ticket == "" {
 		return g.runClaimed(ctx, key, r)
 	}
-	ticket, err := Open(r.Ticket, g.Secret, key, g.Clock.Now())
+	ticket, err := Verify(r.Ticket, g.Secret, key, g.Clock.Now())
 	if err != nil && problem.KindOf(err) == problem.Deadline {
 		return request.Uncertain(r.ID, err)
 	}
@@ -54,7 +54,7 @@
 		return request.Uncertain(r.ID, holderEnded(r.ID, holder))
 	}
 	key := Key{Organisation: r.Organisation, ID: r.ID}
-	ticket, err := Open(r.Ticket, g.Secret, key, g.Clock.Now())
+	ticket, err := Verify(r.Ticket, g.Secret, key, g.Clock.Now())
 	if err == nil && ticket.Holder.Same(g.Self) {
 		return g.runTicketed(ctx, key, r)
 	}
@@ -83,7 +83,7 @@
 // IssueTicket returns a signed ticket that binds a request to this instance.
 func (g *Gate) IssueTicket(key Key) string {
 	ticket := Ticket{Organisation: key.Organisation, ID: key.ID, Holder: g.Self, UntilMs: g.Clock.Now().Add(TicketLife).UnixMilli()}
-	return ticket.Seal(g.Secret)
+	return ticket.Sign(g.Secret)
 }
 
 // runOrForward runs a request bound to this instance, or forwards it to its holder. If an earlier
--- a/pkg/once/once_test.go
+++ b/pkg/once/once_test.go
@@ -228,7 +228,7 @@
 			r.ID = "r2"
 			Expect(do(a, r)).To(SatisfyAll(HaveField("Outcome", request.NotRun), HaveField("Problem.Kind", problem.Invalid)))
 			forged := renewal()
-			forged.Ticket = once.Ticket{Organisation: "gym", ID: "r1", Holder: b.Self, UntilMs: clock.Now().Add(time.Hour).UnixMilli()}.Seal("another secret")
+			forged.Ticket = once.Ticket{Organisation: "gym", ID: "r1", Holder: b.Self, UntilMs: clock.Now().Add(time.Hour).UnixMilli()}.Sign("another secret")
 			Expect(do(b, forged)).To(SatisfyAll(HaveField("Outcome", request.NotRun), HaveField("Problem.Kind", problem.Invalid)))
 			late := ticketed()
 			clock.Advance(once.TicketLife + time.Second)
--- a/pkg/once/ticket.go
+++ b/pkg/once/ticket.go
@@ -37,17 +37,17 @@
 }
 
 // Sign returns the encoded ticket, signed with the secret shared by all instances.
-func (t Ticket) Seal(secret string) string {
+func (t Ticket) Sign(secret string) string {
 	body, _ := json.Marshal(t)
-	return encode(body) + "." + encode(sign(body, secret))
+	return encode(body) + "." + encode(computeMAC(body, secret))
 }
 
 // Verify decodes a signed ticket and checks it against the request it came with.
-func Open(text, secret string, key Key, now time.Time) (Ticket, error) {
+func Verify(text, secret string, key Key, now time.Time) (Ticket, error) {
 	body, signature, found := strings.Cut(text, ".")
 	data, bodyErr := base64.RawURLEncoding.DecodeString(body)
 	given, signatureErr := base64.RawURLEncoding.DecodeString(signature)
-	if !found || bodyErr != nil || signatureErr != nil || !hmac.Equal(given, sign(data, secret)) {
+	if !found || bodyErr != nil || signatureErr != nil || !hmac.Equal(given, computeMAC(data, secret)) {
 		return Ticket{}, invalidTicket("has no valid signature")
 	}
 	var t Ticket
@@ -67,7 +67,7 @@
 	return problem.New(problem.Invalid, "send the ticket unchanged with the request it was issued for", "the ticket %s", why)
 }
 
-func sign(body []byte, secret string) []byte {
+func computeMAC(body []byte, secret string) []byte {
 	mac := hmac.New(sha256.New, []byte(secret))
 	mac.Write([]byte("ticket:"))
 	mac.Write(body)
