--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -108,7 +108,7 @@
 	// rollouts move traffic between versions.
 	rollouts *rollout.Keeper
 	// held counts the bodies and answers that are held.
-	held *held.Account
+	held *held.Quota
 
 	batcher  *batch.Batcher
 	executor *pkggateway.Executor
@@ -209,8 +209,8 @@
 		Machine:       membership.Machine{Cores: s.Machine.Cores(), LinkMbps: s.Machine.LinkMbps},
 	}
 	g.store = platform.NewStore(s.Store)
-	g.held = held.NewAccount(heldLimit(s))
-	g.metrics.NewGauge("cobaltcroft_held_bytes", func() float64 { return float64(g.held.Held()) })
+	g.held = held.NewQuota(heldLimit(s))
+	g.metrics.NewGauge("cobaltcroft_held_bytes", func() float64 { return float64(g.held.Used()) })
 	table := quarantine.New(g.clock, g.logs.For("quarantine"))
 	// The group is put together below; no request comes before.
 	tellAll := func() { g.group.TellAll() }
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -313,8 +313,8 @@
 func (u *run) relayWhole(ctx context.Context, call *balance.Call, answer *httpconn.Answer, verdict Verdict) next {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer+1))
 	// It is held until its client has read it, which may take seconds.
-	u.Held.Add(int64(len(body)))
-	defer u.Held.Free(int64(len(body)))
+	u.Held.Reserve(int64(len(body)))
+	defer u.Held.Release(int64(len(body)))
 	if err != nil || len(body) > maxAnswer {
 		call.End(choose(ctx.Err() == nil, balance.Failed, balance.Canceled), nil)
 		return choose(err != nil, brokenUnless(ctx), again)
--- a/pkg/gateway/executor.go
+++ b/pkg/gateway/executor.go
@@ -63,7 +63,7 @@
 	// Rollouts are told what endpoints of which version answer.
 	Rollouts *rollout.Participant
 	// Held counts the answers that are held for clients; nil: nobody wants to know.
-	Held *held.Account
+	Held *held.Quota
 }
 
 // Executor runs requests. Safe for concurrent use.
@@ -81,7 +81,7 @@
 // New returns an executor.
 func New(o Options) *Executor {
 	if o.Held == nil {
-		o.Held = held.NewAccount(0)
+		o.Held = held.NewQuota(0)
 	}
 	return &Executor{
 		Options:           o,
--- a/pkg/held/account_test.go
+++ b/pkg/held/account_test.go
@@ -9,33 +9,33 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/held"
 )
 
-func TestAnAccountTakesNoMoreThanItsLimit(t *testing.T) {
+func TestQuotaRejectsReservationsOverTheLimit(t *testing.T) {
 	g := NewWithT(t)
-	a := held.NewAccount(100)
-	g.Expect(a.Take(60)).To(BeTrue())
-	g.Expect(a.Take(50)).To(BeFalse())
-	g.Expect(a.Take(40)).To(BeTrue())
-	a.Add(30)
-	g.Expect(a.Held()).To(Equal(int64(130)))
-	g.Expect(a.Take(0)).To(BeFalse(), "the usage exceeds the limit")
-	a.Free(130)
-	g.Expect(a.Take(100)).To(BeTrue())
-	a.SetLimit(0)
-	g.Expect(a.Take(1 << 40)).To(BeTrue())
+	q := held.NewQuota(100)
+	g.Expect(q.TryReserve(60)).To(BeTrue())
+	g.Expect(q.TryReserve(50)).To(BeFalse())
+	g.Expect(q.TryReserve(40)).To(BeTrue())
+	q.Reserve(30)
+	g.Expect(q.Used()).To(Equal(int64(130)))
+	g.Expect(q.TryReserve(0)).To(BeFalse(), "the usage exceeds the limit")
+	q.Release(130)
+	g.Expect(q.TryReserve(100)).To(BeTrue())
+	q.SetLimit(0)
+	g.Expect(q.TryReserve(1 << 40)).To(BeTrue())
 }
 
-func TestAnAccountOfManyHoldsNothingInTheEnd(t *testing.T) {
-	a := held.NewAccount(1000)
+func TestQuotaIsEmptyAfterConcurrentUse(t *testing.T) {
+	q := held.NewQuota(1000)
 	var group sync.WaitGroup
 	for range 50 {
 		group.Go(func() {
 			for range 200 {
-				if a.Take(30) {
-					a.Free(30)
+				if q.TryReserve(30) {
+					q.Release(30)
 				}
 			}
 		})
 	}
 	group.Wait()
-	NewWithT(t).Expect(a.Held()).To(BeZero())
+	NewWithT(t).Expect(q.Used()).To(BeZero())
 }
--- a/service/ingress/holding.go
+++ b/service/ingress/holding.go
@@ -15,7 +15,7 @@
 // heldBody is what is counted in of one request's body. A length that is told is counted at once, since many clients that
 // begin to send together would each find room; without one, what has come.
 type heldBody struct {
-	account *held.Account
+	account *held.Quota
 	bytes   int64
 	// told says that the length was told.
 	told bool
@@ -27,7 +27,7 @@
 		return true
 	}
 	b.told = true
-	if !b.account.Take(length) {
+	if !b.account.TryReserve(length) {
 		return false
 	}
 	b.bytes += length
@@ -42,7 +42,7 @@
 	return &countingReader{reader: r, body: b}
 }
 
-func (b *heldBody) free() { b.account.Free(b.bytes) }
+func (b *heldBody) free() { b.account.Release(b.bytes) }
 
 type countingReader struct {
 	reader io.Reader
@@ -52,7 +52,7 @@
 // Read implements io.Reader.
 func (c *countingReader) Read(buffer []byte) (int, error) {
 	n, err := c.reader.Read(buffer)
-	if !c.body.account.Take(int64(n)) {
+	if !c.body.account.TryReserve(int64(n)) {
 		return n, errNoMemory
 	}
 	c.body.bytes += int64(n)
--- a/service/ingress/holding_test.go
+++ b/service/ingress/holding_test.go
@@ -21,13 +21,13 @@
 var _ = Describe("bodies that are held", func() {
 	const limit, body = 100_000, 40_000
 	var (
-		account *held.Account
+		account *held.Quota
 		l       net.Listener
 		running chan chan struct{}
 	)
 
 	BeforeEach(func() {
-		account = held.NewAccount(limit)
+		account = held.NewQuota(limit)
 		running = make(chan chan struct{}, 8)
 		f := New(Options{
 			Run: func(ctx context.Context, _ *gateway.Request, responder gateway.Responder) {
@@ -73,7 +73,7 @@
 		var end chan struct{}
 		Eventually(running).Should(Receive(&end))
 		slow := send(length, "a client that sends slowly")
-		Eventually(account.Held).Should(Equal(int64(2 * body)))
+		Eventually(account.Used).Should(Equal(int64(2 * body)))
 
 		refused := answer(send(length, strings.Repeat("x", body)))
 		Expect(refused.StatusCode).To(Equal(http.StatusServiceUnavailable))
@@ -84,11 +84,11 @@
 
 		close(end)
 		Expect(slow.Close()).To(Succeed())
-		Eventually(account.Held).Should(BeZero())
+		Eventually(account.Used).Should(BeZero())
 		again := send(length, strings.Repeat("x", body))
 		Eventually(running).Should(Receive(&end))
 		close(end)
 		Expect(answer(again).StatusCode).To(Equal(http.StatusOK))
-		Eventually(account.Held).Should(BeZero())
+		Eventually(account.Used).Should(BeZero())
 	})
 })
--- a/service/ingress/ingress.go
+++ b/service/ingress/ingress.go
@@ -61,7 +61,7 @@
 	// Limits returns what the configuration in force allows clients.
 	Limits func() (route.Limits, bool)
 	// Held counts the bodies that are held for clients; nil: any number may be.
-	Held  *held.Account
+	Held  *held.Quota
 	Clock clockwork.Clock
 	Log   *logrus.Entry
 }
@@ -87,7 +87,7 @@
 // New returns a face.
 func New(o Options) *Face {
 	if o.Held == nil {
-		o.Held = held.NewAccount(0)
+		o.Held = held.NewQuota(0)
 	}
 	f := &Face{Options: o, idle: map[net.Conn]time.Time{}, reading: map[net.Conn]time.Time{}}
 	f.server = &http.Server{
