--- a/pkg/balance/cold.go
+++ b/pkg/balance/cold.go
@@ -96,7 +96,7 @@
 	if remaining {
 		return warm
 	}
-	return b.targets(now, candidates, spec)
+	return b.warmupTargets(now, candidates, spec)
 }
 
 // updateCold applies the endpoint entries and reports whether any endpoint is cold.
@@ -116,7 +116,7 @@
 }
 
 // warmupTargets returns the cold endpoints that this instance may call now as their warm-up owner.
-func (b *Balancer) targets(now time.Time, candidates []fleet.Endpoint, spec CallSpec) []fleet.Endpoint {
+func (b *Balancer) warmupTargets(now time.Time, candidates []fleet.Endpoint, spec CallSpec) []fleet.Endpoint {
 	if spec.Cold.IsOwner == nil {
 		return nil
 	}
--- a/pkg/notice/rests.go
+++ b/pkg/notice/rests.go
@@ -51,24 +51,24 @@
 }
 
 // Start begins a backoff of an endpoint. If one is active, the later end applies.
-func (b *Backoffs) Start(endpoint string, rest time.Duration) {
-	until := b.clock.Now().Add(rest)
+func (b *Backoffs) Start(endpoint string, d time.Duration) {
+	until := b.clock.Now().Add(d)
 	b.mu.Lock()
 	if until.After(b.until[endpoint]) {
 		b.until[endpoint] = until
 	}
 	b.active.Store(int64(len(b.until)))
 	b.mu.Unlock()
-	b.log.WithFields(logrus.Fields{"event": "endpoint_rests", "endpoint": endpoint, "ms": rest.Milliseconds()}).Info()
+	b.log.WithFields(logrus.Fields{"event": "endpoint_rests", "endpoint": endpoint, "ms": d.Milliseconds()}).Info()
 }
 
 // Remaining is the time until an endpoint may be called; 0 if it may be called now.
 func (b *Backoffs) Remaining(endpoint string) time.Duration {
-	return max(b.found(endpoint), b.limits.Delay(endpoint))
+	return max(b.requested(endpoint), b.limits.Delay(endpoint))
 }
 
 // requested is the remaining time of the backoff that an endpoint requested.
-func (b *Backoffs) found(endpoint string) time.Duration {
+func (b *Backoffs) requested(endpoint string) time.Duration {
 	if b.active.Load() == 0 {
 		return 0
 	}
@@ -114,8 +114,8 @@
 	first := b.MinRemaining(endpoints)
 	var candidates []time.Duration
 	for _, e := range endpoints {
-		if left := b.Remaining(e.ID); left <= first+window {
-			candidates = append(candidates, left)
+		if remaining := b.Remaining(e.ID); remaining <= first+window {
+			candidates = append(candidates, remaining)
 		}
 	}
 	if first == 0 || len(candidates) == 0 {
