--- a/pkg/batch/batch.go
+++ b/pkg/batch/batch.go
@@ -161,9 +161,9 @@
 // Budget bounds how many pieces are made again, as a part of those that are asked for.
 type Budget interface {
 	// Count counts n pieces that are asked for.
-	Count(service string, n int)
+	AddRequests(service string, n int)
 	// Take counts n repeats in if they are within the bounds, and tells whether they are.
-	Take(service string, n int) bool
+	TryRetry(service string, n int) bool
 }
 
 // Known is what the batcher needs to know of services and endpoints.
--- a/pkg/batch/batcher.go
+++ b/pkg/batch/batcher.go
@@ -106,7 +106,7 @@
 // endpoints have fetched the inputs of all pieces; none is made again after that.
 func (b *Batcher) Make(ctx context.Context, at Queue, pieces []Piece, read func()) []Result {
 	g := newGroup(len(pieces), read)
-	b.budget.Count(at.Service, len(pieces))
+	b.budget.AddRequests(at.Service, len(pieces))
 	b.mu.Lock()
 	s := b.service(at)
 	for slot, piece := range pieces {
--- a/pkg/batch/settling.go
+++ b/pkg/batch/settling.go
@@ -125,7 +125,7 @@
 		return
 	}
 	b.unfetched(it)
-	if it.tries >= maxTries || !b.budget.Take(s.at.Service, 1) {
+	if it.tries >= maxTries || !b.budget.TryRetry(s.at.Service, 1) {
 		it.group.settle(it.slot, Result{Reason: Exhausted})
 		return
 	}
--- a/pkg/batch/standin_test.go
+++ b/pkg/batch/standin_test.go
@@ -149,9 +149,9 @@
 	e.resting.Store(true)
 }
 
-func (e *endpoints) Count(string, int) {}
+func (e *endpoints) AddRequests(string, int) {}
 
-func (e *endpoints) Take(string, int) bool {
+func (e *endpoints) TryRetry(string, int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.budget--
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -118,7 +118,7 @@
 	if u.attempts >= max(1, u.route.MaxAttempts) {
 		return false
 	}
-	return u.Budget.Take(u.service.Name, 1)
+	return u.Budget.TryRetry(u.service.Name, 1)
 }
 
 // restoreInputs makes the stages once more if their results were given up when the first
--- a/pkg/gateway/executor.go
+++ b/pkg/gateway/executor.go
@@ -185,7 +185,7 @@
 		u.refuse(refusal)
 		return
 	}
-	u.Budget.Count(u.service.Name, 1)
+	u.Budget.AddRequests(u.service.Name, 1)
 	if refusal := u.makeStages(ctx); refusal != nil {
 		u.refuse(u.ended(ctx, refusal))
 		return
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -55,7 +55,7 @@
 }
 
 // AddRequests counts n first attempts at a service.
-func (b *Budget) Count(service string, n int) {
+func (b *Budget) AddRequests(service string, n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.window(service).requests[0] += float64(n)
@@ -63,7 +63,7 @@
 
 // TryRetry reports whether n retries are within this instance's part of the budget, and counts
 // them if so.
-func (b *Budget) Take(service string, n int) bool {
+func (b *Budget) TryRetry(service string, n int) bool {
 	instances := max(1, b.instances())
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -30,7 +30,7 @@
 	take := func(b *retry.Budget, n int) int {
 		taken := 0
 		for range n {
-			if b.Take("s", 1) {
+			if b.TryRetry("s", 1) {
 				taken++
 			}
 		}
@@ -47,7 +47,7 @@
 		requests := 0
 		for range 400 {
 			for _, b := range all {
-				b.Count("s", 1)
+				b.AddRequests("s", 1)
 				requests++
 				for range take(b, 3) {
 					times = append(times, clock.Now())
@@ -74,15 +74,15 @@
 	It("is kept per service and restored after the window", func() {
 		b := budget(1)
 		Expect(take(b, 1000)).To(BeNumerically(">", 0))
-		Expect(b.Take("s", 1)).To(BeFalse())
-		Expect(b.Take("other", 1)).To(BeTrue())
+		Expect(b.TryRetry("s", 1)).To(BeFalse())
+		Expect(b.TryRetry("other", 1)).To(BeTrue())
 		clock.Advance(bounds.Window + time.Second)
-		Expect(b.Take("s", 1)).To(BeTrue())
+		Expect(b.TryRetry("s", 1)).To(BeTrue())
 	})
 
 	It("follows changed bounds", func() {
 		b := budget(1)
 		b.SetBounds(retry.Bounds{Window: time.Second})
-		Expect(b.Take("s", 1)).To(BeFalse())
+		Expect(b.TryRetry("s", 1)).To(BeFalse())
 	})
 })
