--- a/pkg/batch/batch.go
+++ b/pkg/batch/batch.go
@@ -160,9 +160,9 @@
 
 // Budget bounds how many pieces are made again, as a part of those that are asked for.
 type Budget interface {
-	// Count counts n pieces that are asked for.
+	// AddRequests counts n requested pieces.
 	AddRequests(service string, n int)
-	// Take counts n repeats in if they are within the bounds, and tells whether they are.
+	// TryRetry reports whether n retries are within the bounds, and counts them if so.
 	TryRetry(service string, n int) bool
 }
 
--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -34,8 +34,8 @@
 	// MethodRollout reports a rollout (rollout.Report) to its conductor; the answer is a rollout.Instruction. A
 	// version before it knows no rollouts, and answers that it does not know the method.
 	MethodRollout = "rollout.report"
-	// MethodPermits asks for calls (throttle.Ask) to an endpoint that names a limit for all instances; the answer is a
-	// throttle.Grant. A version before it heeds no such limit, and answers that it does not know the method.
+	// MethodPermits asks for calls (throttle.PermitRequest) to an endpoint that names a limit for all instances; the answer is a
+	// throttle.PermitGrant. A version before it heeds no such limit, and answers that it does not know the method.
 	MethodPermits = "throttle.permits"
 )
 
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -43,7 +43,7 @@
 
 // Permitting grants calls to endpoints that name a limit for all instances.
 type Permitting interface {
-	// Answer answers the question of an instance.
+	// HandleRequest answers a permit request of another instance.
 	HandleRequest(a throttle.PermitRequest) throttle.PermitGrant
 }
 
--- a/service/handover/permits.go
+++ b/service/handover/permits.go
@@ -37,7 +37,7 @@
 // Self implements throttle.Peers.
 func (p *Permits) Self() throttle.Peer { return throttlePeer(p.Instance) }
 
-// Leaves implements throttle.Peers.
+// SelfLeaving implements throttle.Peers.
 func (p *Permits) SelfLeaving() bool { return p.Stopping() }
 
 // Live implements throttle.Peers.
@@ -46,7 +46,7 @@
 // Leaving implements throttle.Peers.
 func (p *Permits) Leaving() []throttle.Peer { return throttlePeers(p.Departing()) }
 
-// Ask implements throttle.Peers.
+// RequestPermits implements throttle.Peers.
 func (p *Permits) RequestPermits(ctx context.Context, to throttle.Peer, ask throttle.PermitRequest) (throttle.PermitGrant, error) {
 	var grant throttle.PermitGrant
 	err := p.Client.Call(ctx, to.Address, api.MethodPermits, ask, &grant)
