--- a/pkg/throttle/requesting.go
+++ b/pkg/throttle/requesting.go
@@ -29,7 +29,7 @@
 
 // requestSize is the number of permits to request: twice the last grant if it was used up, and
 // otherwise the number that was used.
-func (e *endpoint) size(perSecond float64) int {
+func (e *endpoint) requestSize(perSecond float64) int {
 	size := e.used
 	if e.used >= e.granted {
 		size = 2 * e.granted
@@ -45,7 +45,7 @@
 		return
 	}
 	e.requesting = true
-	request := PermitRequest{EndpointID: id, Wanted: e.size(perSecond), PerSecond: perSecond, AgeMs: l.table.age(id).Milliseconds()}
+	request := PermitRequest{EndpointID: id, Wanted: e.requestSize(perSecond), PerSecond: perSecond, AgeMs: l.table.age(id).Milliseconds()}
 	l.start(func() { l.fetch(now, e, request) })
 }
 
