--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -27,11 +27,11 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 	pkggateway "github.com/cobaltcroft/cobaltcroft/pkg/gateway"
 	"github.com/cobaltcroft/cobaltcroft/pkg/group"
-	"github.com/cobaltcroft/cobaltcroft/pkg/held"
 	"github.com/cobaltcroft/cobaltcroft/pkg/httpconn"
 	"github.com/cobaltcroft/cobaltcroft/pkg/limits"
 	"github.com/cobaltcroft/cobaltcroft/pkg/logging"
 	"github.com/cobaltcroft/cobaltcroft/pkg/membership"
+	"github.com/cobaltcroft/cobaltcroft/pkg/memquota"
 	"github.com/cobaltcroft/cobaltcroft/pkg/notice"
 	"github.com/cobaltcroft/cobaltcroft/pkg/ownership"
 	"github.com/cobaltcroft/cobaltcroft/pkg/pipeline"
@@ -108,7 +108,7 @@
 	// rollouts move traffic between versions.
 	rollouts *rollout.Keeper
 	// held counts the bodies and answers that are held.
-	held *held.Quota
+	held *memquota.Quota
 
 	batcher  *batch.Batcher
 	executor *pkggateway.Executor
@@ -209,7 +209,7 @@
 		Machine:       membership.Machine{Cores: s.Machine.Cores(), LinkMbps: s.Machine.LinkMbps},
 	}
 	g.store = platform.NewStore(s.Store)
-	g.held = held.NewQuota(heldLimit(s))
+	g.held = memquota.NewQuota(heldLimit(s))
 	g.metrics.NewGauge("cobaltcroft_held_bytes", func() float64 { return float64(g.held.Used()) })
 	table := quarantine.New(g.clock, g.logs.For("quarantine"))
 	// The group is put together below; no request comes before.
--- a/pkg/gateway/executor.go
+++ b/pkg/gateway/executor.go
@@ -14,8 +14,8 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/balance"
 	"github.com/cobaltcroft/cobaltcroft/pkg/batch"
 	"github.com/cobaltcroft/cobaltcroft/pkg/discovery"
-	"github.com/cobaltcroft/cobaltcroft/pkg/held"
 	"github.com/cobaltcroft/cobaltcroft/pkg/httpconn"
+	"github.com/cobaltcroft/cobaltcroft/pkg/memquota"
 	"github.com/cobaltcroft/cobaltcroft/pkg/quarantine"
 	"github.com/cobaltcroft/cobaltcroft/pkg/retry"
 	"github.com/cobaltcroft/cobaltcroft/pkg/rollout"
@@ -63,7 +63,7 @@
 	// Rollouts are told what endpoints of which version answer.
 	Rollouts *rollout.Participant
 	// Held counts the answers that are held for clients; nil: nobody wants to know.
-	Held *held.Quota
+	Held *memquota.Quota
 }
 
 // Executor runs requests. Safe for concurrent use.
@@ -81,7 +81,7 @@
 // New returns an executor.
 func New(o Options) *Executor {
 	if o.Held == nil {
-		o.Held = held.NewQuota(0)
+		o.Held = memquota.NewQuota(0)
 	}
 	return &Executor{
 		Options:           o,
--- a/pkg/held/quota.go
+++ b/pkg/memquota/quota.go
@@ -1,6 +1,6 @@
-// Package held limits the memory that an instance uses for the data of clients and endpoints.
+// Package memquota limits the memory that an instance uses for the data of clients and endpoints.
 // Requests over the limit are rejected immediately.
-package held
+package memquota
 
 import "sync/atomic"
 
--- a/pkg/held/quota_test.go
+++ b/pkg/memquota/quota_test.go
@@ -1,4 +1,4 @@
-package held_test
+package memquota_test
 
 import (
 	"sync"
@@ -6,12 +6,12 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/cobaltcroft/cobaltcroft/pkg/held"
+	"github.com/cobaltcroft/cobaltcroft/pkg/memquota"
 )
 
 func TestQuotaRejectsReservationsOverTheLimit(t *testing.T) {
 	g := NewWithT(t)
-	q := held.NewQuota(100)
+	q := memquota.NewQuota(100)
 	g.Expect(q.TryReserve(60)).To(BeTrue())
 	g.Expect(q.TryReserve(50)).To(BeFalse())
 	g.Expect(q.TryReserve(40)).To(BeTrue())
@@ -25,7 +25,7 @@
 }
 
 func TestQuotaIsEmptyAfterConcurrentUse(t *testing.T) {
-	q := held.NewQuota(1000)
+	q := memquota.NewQuota(1000)
 	var group sync.WaitGroup
 	for range 50 {
 		group.Go(func() {
--- a/service/ingress/holding.go
+++ b/service/ingress/holding.go
@@ -6,7 +6,7 @@
 	"net/http"
 
 	"github.com/cobaltcroft/cobaltcroft/pkg/gateway"
-	"github.com/cobaltcroft/cobaltcroft/pkg/held"
+	"github.com/cobaltcroft/cobaltcroft/pkg/memquota"
 )
 
 // errNoMemory says that a body has no place in memory.
@@ -15,7 +15,7 @@
 // heldBody is what is counted in of one request's body. A length that is told is counted at once, since many clients that
 // begin to send together would each find room; without one, what has come.
 type heldBody struct {
-	account *held.Quota
+	account *memquota.Quota
 	bytes   int64
 	// told says that the length was told.
 	told bool
--- a/service/ingress/holding_test.go
+++ b/service/ingress/holding_test.go
@@ -13,21 +13,21 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/cobaltcroft/cobaltcroft/pkg/gateway"
-	"github.com/cobaltcroft/cobaltcroft/pkg/held"
 	"github.com/cobaltcroft/cobaltcroft/pkg/logging"
+	"github.com/cobaltcroft/cobaltcroft/pkg/memquota"
 	"github.com/cobaltcroft/cobaltcroft/pkg/route"
 )
 
 var _ = Describe("bodies that are held", func() {
 	const limit, body = 100_000, 40_000
 	var (
-		account *held.Quota
+		account *memquota.Quota
 		l       net.Listener
 		running chan chan struct{}
 	)
 
 	BeforeEach(func() {
-		account = held.NewQuota(limit)
+		account = memquota.NewQuota(limit)
 		running = make(chan chan struct{}, 8)
 		f := New(Options{
 			Run: func(ctx context.Context, _ *gateway.Request, responder gateway.Responder) {
--- a/service/ingress/ingress.go
+++ b/service/ingress/ingress.go
@@ -19,8 +19,8 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/cobaltcroft/cobaltcroft/pkg/gateway"
-	"github.com/cobaltcroft/cobaltcroft/pkg/held"
 	"github.com/cobaltcroft/cobaltcroft/pkg/httpconn"
+	"github.com/cobaltcroft/cobaltcroft/pkg/memquota"
 	"github.com/cobaltcroft/cobaltcroft/pkg/route"
 )
 
@@ -61,7 +61,7 @@
 	// Limits returns what the configuration in force allows clients.
 	Limits func() (route.Limits, bool)
 	// Held counts the bodies that are held for clients; nil: any number may be.
-	Held  *held.Quota
+	Held  *memquota.Quota
 	Clock clockwork.Clock
 	Log   *logrus.Entry
 }
@@ -87,7 +87,7 @@
 // New returns a face.
 func New(o Options) *Face {
 	if o.Held == nil {
-		o.Held = held.NewQuota(0)
+		o.Held = memquota.NewQuota(0)
 	}
 	f := &Face{Options: o, idle: map[net.Conn]time.Time{}, reading: map[net.Conn]time.Time{}}
 	f.server = &http.Server{
