--- a/cmd/cobaltcroftd/daemon/daemon.go
+++ b/cmd/cobaltcroftd/daemon/daemon.go
@@ -12,8 +12,8 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/cobaltcroft/cobaltcroft/pkg/kernel"
-	"github.com/cobaltcroft/cobaltcroft/pkg/limits"
 	"github.com/cobaltcroft/cobaltcroft/pkg/logging"
+	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 	"github.com/cobaltcroft/cobaltcroft/pkg/settings"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
@@ -47,7 +47,7 @@
 	metrics     *metrics.Set
 	usage       *peers.Usage
 	ring        *timeline.Ring
-	shares      *limits.Splitter
+	shares      *ratelimit.Splitter
 	incarnation uint64
 	stopping    atomic.Bool
 }
@@ -67,7 +67,7 @@
 		metrics:     set,
 		usage:       peers.NewUsage(set),
 		ring:        timeline.NewRing(s.Instance, timeline.NewClock(clock), timeline.DefaultCapacity),
-		shares:      limits.NewSplitter(clock),
+		shares:      ratelimit.NewSplitter(clock),
 		incarnation: uint64(clock.Now().UnixNano()),
 	}
 	d := &Daemon{kernel: kernel.New(), log: logs.For("daemon")}
--- a/cmd/cobaltcroftd/gateway/behind_test.go
+++ b/cmd/cobaltcroftd/gateway/behind_test.go
@@ -10,9 +10,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/cobaltcroft/cobaltcroft/pkg/limits"
 	"github.com/cobaltcroft/cobaltcroft/pkg/logging"
 	"github.com/cobaltcroft/cobaltcroft/pkg/membership"
+	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
 )
@@ -28,7 +28,7 @@
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	Expect(err).NotTo(HaveOccurred())
 	clock := clockwork.NewRealClock()
-	gossip := peers.NewGossip(conn, "a shared token", timeline.NewClock(clock), limits.NewSplitter(clock), metrics.NewSet(), logging.Discard().For("peers"), nil)
+	gossip := peers.NewGossip(conn, "a shared token", timeline.NewClock(clock), ratelimit.NewSplitter(clock), metrics.NewSet(), logging.Discard().For("peers"), nil)
 	DeferCleanup(gossip.Close)
 	self := membership.Self{Name: "teller", Incarnation: 1, FailureDomain: "zone-a", PeerAddress: conn.LocalAddr().String()}
 	return &teller{gossip: gossip, heartbeat: membership.Heartbeat{From: self, Revision: revision}, to: to}
--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -28,7 +28,6 @@
 	pkggateway "github.com/cobaltcroft/cobaltcroft/pkg/gateway"
 	"github.com/cobaltcroft/cobaltcroft/pkg/group"
 	"github.com/cobaltcroft/cobaltcroft/pkg/httpconn"
-	"github.com/cobaltcroft/cobaltcroft/pkg/limits"
 	"github.com/cobaltcroft/cobaltcroft/pkg/logging"
 	"github.com/cobaltcroft/cobaltcroft/pkg/membership"
 	"github.com/cobaltcroft/cobaltcroft/pkg/memquota"
@@ -37,6 +36,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/pipeline"
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 	"github.com/cobaltcroft/cobaltcroft/pkg/quarantine"
+	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 	"github.com/cobaltcroft/cobaltcroft/pkg/retry"
 	"github.com/cobaltcroft/cobaltcroft/pkg/rollout"
 	"github.com/cobaltcroft/cobaltcroft/pkg/route"
@@ -218,7 +218,7 @@
 	g.metrics.NewGauge("cobaltcroft_quarantined_requests", func() float64 { return float64(g.quarantine.Held()) })
 	g.usage = peers.NewUsage(g.metrics)
 	g.client = peers.NewClient(s.Instance, s.PeerToken, g.usage)
-	g.gossip = peers.NewGossip(g.listeners.heartbeat, s.PeerToken, timeline.NewClock(g.clock), limits.NewSplitter(g.clock), g.metrics, g.logs.For("peers"), func(membership.Self, uint64) {})
+	g.gossip = peers.NewGossip(g.listeners.heartbeat, s.PeerToken, timeline.NewClock(g.clock), ratelimit.NewSplitter(g.clock), g.metrics, g.logs.For("peers"), func(membership.Self, uint64) {})
 	g.group = group.New(g.groupSettings(self), g.gossip, g.clock, g.logs.For("peers"))
 	g.follower = discovery.New(g.store, &handover.Knowledge{Client: g.client, Self: self, Live: g.group.Live, Contacts: s.Peers, Tell: g.group.Tell}, g.clock, g.logs.For("discovery"))
 	g.unread = g.metrics.NewCounter("cobaltcroft_notices_unread_total")
--- a/pkg/control/control.go
+++ b/pkg/control/control.go
@@ -15,8 +15,8 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
 	"github.com/cobaltcroft/cobaltcroft/pkg/decision"
 	"github.com/cobaltcroft/cobaltcroft/pkg/infra"
-	"github.com/cobaltcroft/cobaltcroft/pkg/limits"
 	"github.com/cobaltcroft/cobaltcroft/pkg/membership"
+	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
 
@@ -73,7 +73,7 @@
 	// The fields below belong to the control goroutine.
 	configuration *config.Configuration
 	confirmed     bool
-	instances     limits.InstanceCounts
+	instances     ratelimit.InstanceCounts
 	listed        map[string]*listedEndpoint
 	missing       int                     // of the listed, those that the list lacks now
 	leaving       map[string]leavingSince // by endpoint, as heard from list, answers and peers
@@ -115,7 +115,7 @@
 		log:           log,
 		events:        make(chan event, queueLength),
 		configuration: config.Empty(),
-		instances:     limits.InstanceCounts{Domain: 1, All: 1},
+		instances:     ratelimit.InstanceCounts{Domain: 1, All: 1},
 		listed:        map[string]*listedEndpoint{},
 		leaving:       map[string]leavingSince{},
 		pools:         map[string]*decision.Pool{},
--- a/pkg/control/peers.go
+++ b/pkg/control/peers.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/sirupsen/logrus"
 
-	"github.com/cobaltcroft/cobaltcroft/pkg/limits"
 	"github.com/cobaltcroft/cobaltcroft/pkg/membership"
+	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
 
@@ -72,7 +72,7 @@
 		c.log.WithFields(logrus.Fields{"event": string(kind), "peer": change.Member.Name, "incarnation": change.Member.Incarnation}).Info()
 	}
 	c.shareMembers()
-	live := limits.InstanceCounts{Domain: 1, All: 1}
+	live := ratelimit.InstanceCounts{Domain: 1, All: 1}
 	for _, member := range c.Members() {
 		if member.State != membership.Live {
 			continue
--- a/pkg/control/view.go
+++ b/pkg/control/view.go
@@ -5,7 +5,7 @@
 import (
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
 	"github.com/cobaltcroft/cobaltcroft/pkg/decision"
-	"github.com/cobaltcroft/cobaltcroft/pkg/limits"
+	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 )
 
 // View is what traffic decides by. It is immutable, but for the pools in it, which
@@ -18,7 +18,7 @@
 	Plans map[string]*decision.Plan
 	// Instances is the number of live instances, this one included, in the own
 	// failure domain and in all.
-	Instances limits.InstanceCounts
+	Instances ratelimit.InstanceCounts
 	// Confirmed is set once the configuration is known to be as new as can be
 	// found out; before, nothing is served.
 	Confirmed bool
--- a/pkg/limits/splitter.go
+++ b/pkg/ratelimit/splitter.go
@@ -1,7 +1,7 @@
-// Package limits splits the rate limits of organisations across instances without a coordinator:
+// Package ratelimit splits the rate limits of organisations across instances without a coordinator:
 // in proportion to recent demand within a failure domain, and by the number of instances between
 // domains.
-package limits
+package ratelimit
 
 import (
 	"maps"
--- a/pkg/limits/splitter_test.go
+++ b/pkg/ratelimit/splitter_test.go
@@ -1,4 +1,4 @@
-package limits_test
+package ratelimit_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/cobaltcroft/cobaltcroft/pkg/limits"
+	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 )
 
 func TestLimits(t *testing.T) {
@@ -20,14 +20,14 @@
 // fleet simulates instances of one failure domain that exchange their demands once per second.
 type fleet struct {
 	clock       *clockwork.FakeClock
-	splitters   []*limits.Splitter
+	splitters   []*ratelimit.Splitter
 	partitioned bool
 }
 
 func newFleet(n int) *fleet {
 	f := &fleet{clock: clockwork.NewFakeClock()}
 	for range n {
-		f.splitters = append(f.splitters, limits.NewSplitter(f.clock))
+		f.splitters = append(f.splitters, ratelimit.NewSplitter(f.clock))
 	}
 	return f
 }
@@ -55,7 +55,7 @@
 }
 
 func (f *fleet) offer(i int) int {
-	if f.splitters[i].Allow("huila", limit, limits.InstanceCounts{Domain: len(f.splitters), All: len(f.splitters)}) {
+	if f.splitters[i].Allow("huila", limit, ratelimit.InstanceCounts{Domain: len(f.splitters), All: len(f.splitters)}) {
 		return 1
 	}
 	return 0
@@ -110,21 +110,21 @@
 	})
 
 	It("is split equally while no demand is known", func() {
-		s := limits.NewSplitter(clockwork.NewFakeClock())
-		Expect(s.Limit("huila", 100, limits.InstanceCounts{Domain: 4, All: 20})).To(Equal(5.0))
+		s := ratelimit.NewSplitter(clockwork.NewFakeClock())
+		Expect(s.Limit("huila", 100, ratelimit.InstanceCounts{Domain: 4, All: 20})).To(Equal(5.0))
 	})
 
 	It("ignores expired demand, and sends many demands in rotation", func() {
 		clock := clockwork.NewFakeClock()
-		s := limits.NewSplitter(clock)
-		s.Allow("huila", 100, limits.InstanceCounts{Domain: 2, All: 2})
-		s.SetPeerDemands("x", []limits.Demand{{Organisation: limits.Hash("huila"), PerSecond: 1000}})
-		before := s.Limit("huila", 100, limits.InstanceCounts{Domain: 2, All: 2})
+		s := ratelimit.NewSplitter(clock)
+		s.Allow("huila", 100, ratelimit.InstanceCounts{Domain: 2, All: 2})
+		s.SetPeerDemands("x", []ratelimit.Demand{{Organisation: ratelimit.Hash("huila"), PerSecond: 1000}})
+		before := s.Limit("huila", 100, ratelimit.InstanceCounts{Domain: 2, All: 2})
 		clock.Advance(time.Minute)
-		s.Allow("huila", 100, limits.InstanceCounts{Domain: 1, All: 1})
-		Expect(s.Limit("huila", 100, limits.InstanceCounts{Domain: 1, All: 1})).To(BeNumerically(">", before))
+		s.Allow("huila", 100, ratelimit.InstanceCounts{Domain: 1, All: 1})
+		Expect(s.Limit("huila", 100, ratelimit.InstanceCounts{Domain: 1, All: 1})).To(BeNumerically(">", before))
 		for i := range 10 {
-			s.Allow(fmt.Sprint(i), 100, limits.InstanceCounts{Domain: 2, All: 2})
+			s.Allow(fmt.Sprint(i), 100, ratelimit.InstanceCounts{Domain: 2, All: 2})
 		}
 		demands := map[uint32]bool{}
 		for range 5 {
--- a/pkg/traffic/executor.go
+++ b/pkg/traffic/executor.go
@@ -15,8 +15,8 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/control"
 	"github.com/cobaltcroft/cobaltcroft/pkg/decision"
 	"github.com/cobaltcroft/cobaltcroft/pkg/endpoint"
-	"github.com/cobaltcroft/cobaltcroft/pkg/limits"
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
+	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 	"github.com/cobaltcroft/cobaltcroft/pkg/request"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
@@ -34,7 +34,7 @@
 	Log     *logrus.Entry
 	Metrics *Metrics
 	// Shares splits the organisations' rates over the instances.
-	Shares *limits.Splitter
+	Shares *ratelimit.Splitter
 	// MaxInFlight bounds the requests in flight.
 	MaxInFlight int
 	// Baseline makes retries as simple as the baseline policies are: one retry,
--- a/pkg/traffic/suite_test.go
+++ b/pkg/traffic/suite_test.go
@@ -19,8 +19,8 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/decision"
 	"github.com/cobaltcroft/cobaltcroft/pkg/endpoint"
 	"github.com/cobaltcroft/cobaltcroft/pkg/endpoint/openinference"
-	"github.com/cobaltcroft/cobaltcroft/pkg/limits"
 	"github.com/cobaltcroft/cobaltcroft/pkg/logging"
+	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 	"github.com/cobaltcroft/cobaltcroft/pkg/request"
 	"github.com/cobaltcroft/cobaltcroft/pkg/standin"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
@@ -171,7 +171,7 @@
 		Ring:        b.ring,
 		Log:         logging.Discard().For("traffic"),
 		Metrics:     traffic.NewMetrics(metrics.NewSet()),
-		Shares:      limits.NewSplitter(clock),
+		Shares:      ratelimit.NewSplitter(clock),
 		MaxInFlight: 100,
 	})
 	return b, func() {
@@ -218,7 +218,7 @@
 		}
 		plans[p.Name] = decision.NewPlan(steps)
 	}
-	return &control.View{Configuration: configuration, Pools: b.pools, Plans: plans, Instances: limits.InstanceCounts{Domain: 1, All: 1}, Confirmed: true}
+	return &control.View{Configuration: configuration, Pools: b.pools, Plans: plans, Instances: ratelimit.InstanceCounts{Domain: 1, All: 1}, Confirmed: true}
 }
 
 func (b *bench) makePools() {
--- a/pkg/traffic/usage.go
+++ b/pkg/traffic/usage.go
@@ -4,8 +4,8 @@
 	"sync"
 
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
-	"github.com/cobaltcroft/cobaltcroft/pkg/limits"
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
+	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 )
 
 // usage counts the requests in flight, in all and by organisation. Safe for
@@ -15,15 +15,15 @@
 	total  int
 	max    int
 	orgs   map[string]int
-	shares *limits.Splitter
+	shares *ratelimit.Splitter
 }
 
-func newUsage(maxInFlight int, shares *limits.Splitter) *usage {
+func newUsage(maxInFlight int, shares *ratelimit.Splitter) *usage {
 	return &usage{max: maxInFlight, orgs: map[string]int{}, shares: shares}
 }
 
 // enter counts a request in, or says why it may not run.
-func (u *usage) enter(o *config.Organisation, instances limits.InstanceCounts) error {
+func (u *usage) enter(o *config.Organisation, instances ratelimit.InstanceCounts) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.total >= u.max {
--- a/service/peers/datagram.go
+++ b/service/peers/datagram.go
@@ -10,11 +10,11 @@
 
 	pb "github.com/cobaltcroft/cobaltcroft/api/cobaltcroft/v1"
 	"github.com/cobaltcroft/cobaltcroft/pkg/control"
-	"github.com/cobaltcroft/cobaltcroft/pkg/limits"
 	"github.com/cobaltcroft/cobaltcroft/pkg/membership"
 	"github.com/cobaltcroft/cobaltcroft/pkg/ownership"
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 	"github.com/cobaltcroft/cobaltcroft/pkg/quarantine"
+	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 	"github.com/cobaltcroft/cobaltcroft/pkg/throttle"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
@@ -33,7 +33,7 @@
 type beat struct {
 	heartbeat membership.Heartbeat
 	leaving   []control.LeavingEndpoint
-	demands   []limits.Demand
+	demands   []ratelimit.Demand
 	stamp     timeline.Stamp
 }
 
@@ -129,7 +129,7 @@
 		b.leaving = append(b.leaving, control.LeavingEndpoint{Name: e.Name, Incarnation: e.Incarnation})
 	}
 	for _, d := range wire.Demands {
-		b.demands = append(b.demands, limits.Demand{Organisation: d.Organisation, PerSecond: float64(d.PerSecond)})
+		b.demands = append(b.demands, ratelimit.Demand{Organisation: d.Organisation, PerSecond: float64(d.PerSecond)})
 	}
 	for _, c := range wire.Claims {
 		b.heartbeat.Claims = append(b.heartbeat.Claims, decodeClaim(c, b.heartbeat.From))
--- a/service/peers/datagram_test.go
+++ b/service/peers/datagram_test.go
@@ -8,9 +8,9 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/cobaltcroft/cobaltcroft/pkg/control"
-	"github.com/cobaltcroft/cobaltcroft/pkg/limits"
 	"github.com/cobaltcroft/cobaltcroft/pkg/membership"
 	"github.com/cobaltcroft/cobaltcroft/pkg/ownership"
+	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
 
@@ -26,7 +26,7 @@
 			Revision: 3_504_000,
 		},
 		leaving: []control.LeavingEndpoint{{Name: "bulletin-engine-0123", Incarnation: 17}},
-		demands: []limits.Demand{{Organisation: 7, PerSecond: 2.5}},
+		demands: []ratelimit.Demand{{Organisation: 7, PerSecond: 2.5}},
 		stamp:   timeline.Stamp{WallMs: 1796204992778, Logical: 3},
 	}
 	b.heartbeat.Claims = []ownership.Claim{{Part: ownership.Part{Number: 1, Of: 4}, Term: 7, Owner: b.heartbeat.From.Owner()}}
--- a/service/peers/gossip.go
+++ b/service/peers/gossip.go
@@ -10,8 +10,8 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/cobaltcroft/cobaltcroft/pkg/control"
-	"github.com/cobaltcroft/cobaltcroft/pkg/limits"
 	"github.com/cobaltcroft/cobaltcroft/pkg/membership"
+	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
 
@@ -21,7 +21,7 @@
 	conn     *net.UDPConn
 	secret   []byte
 	clock    *timeline.Clock
-	shares   *limits.Splitter
+	shares   *ratelimit.Splitter
 	log      *logrus.Entry
 	onBehind func(peer membership.Self, revision uint64)
 	sent     *metrics.Counter
@@ -34,7 +34,7 @@
 // NewGossip returns a gossip over conn, which tells the demands of shares and takes in
 // those of the own failure domain. onBehind is called, and must not block, when
 // a peer has a newer configuration.
-func NewGossip(conn *net.UDPConn, secret string, clock *timeline.Clock, shares *limits.Splitter, set *metrics.Set, log *logrus.Entry, onBehind func(membership.Self, uint64)) *Gossip {
+func NewGossip(conn *net.UDPConn, secret string, clock *timeline.Clock, shares *ratelimit.Splitter, set *metrics.Set, log *logrus.Entry, onBehind func(membership.Self, uint64)) *Gossip {
 	return &Gossip{
 		conn:     conn,
 		secret:   []byte(secret),
--- a/service/peers/gossip_test.go
+++ b/service/peers/gossip_test.go
@@ -10,9 +10,9 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/cobaltcroft/cobaltcroft/pkg/control"
-	"github.com/cobaltcroft/cobaltcroft/pkg/limits"
 	"github.com/cobaltcroft/cobaltcroft/pkg/logging"
 	"github.com/cobaltcroft/cobaltcroft/pkg/membership"
+	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
 
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	clock := clockwork.NewRealClock()
-	g := NewGossip(conn, "a shared token", timeline.NewClock(clock), limits.NewSplitter(clock), metrics.NewSet(), logging.Discard().For("peers"), nil)
+	g := NewGossip(conn, "a shared token", timeline.NewClock(clock), ratelimit.NewSplitter(clock), metrics.NewSet(), logging.Discard().For("peers"), nil)
 	var alive tomb.Tomb
 	ended := make(chan struct{})
 	go func() {
