--- a/cmd/cobaltcroftd/daemon/faces.go
+++ b/cmd/cobaltcroftd/daemon/faces.go
@@ -12,10 +12,10 @@
 	"github.com/uptrace/bunrouter"
 	"gopkg.in/tomb.v2"
 
+	"github.com/cobaltcroft/cobaltcroft/pkg/atmostonce"
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
 	"github.com/cobaltcroft/cobaltcroft/pkg/endpoint/openinference"
 	"github.com/cobaltcroft/cobaltcroft/pkg/kernel"
-	"github.com/cobaltcroft/cobaltcroft/pkg/once"
 	"github.com/cobaltcroft/cobaltcroft/pkg/request"
 	"github.com/cobaltcroft/cobaltcroft/pkg/settings"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
@@ -79,7 +79,7 @@
 	config   *configService
 	client   *openinference.Client
 	executor *traffic.Executor
-	gate     *once.Gate
+	gate     *atmostonce.Gate
 	server   *peers.Server
 	listener net.Listener
 }
@@ -128,11 +128,11 @@
 	}
 }
 
-func (s *trafficService) newGate(platformService *platformService, peersService *peersService) *once.Gate {
-	self := once.Holder{Instance: s.base.settings.Instance, Incarnation: s.base.incarnation, PeerAddress: peersService.self.PeerAddress}
-	return &once.Gate{
-		Table:   once.NewTable(s.base.clock),
-		Claims:  once.NewClaims(platformService.keyValue, s.base.clock, s.base.settings.Timings.ClaimRetention.Std(), self),
+func (s *trafficService) newGate(platformService *platformService, peersService *peersService) *atmostonce.Gate {
+	self := atmostonce.Holder{Instance: s.base.settings.Instance, Incarnation: s.base.incarnation, PeerAddress: peersService.self.PeerAddress}
+	return &atmostonce.Gate{
+		Table:   atmostonce.NewTable(s.base.clock),
+		Claims:  atmostonce.NewClaims(platformService.keyValue, s.base.clock, s.base.settings.Timings.ClaimRetention.Std(), self),
 		Forward: peersService.client,
 		Self:    self,
 		Secret:  s.base.settings.Tokens.Peers,
@@ -157,7 +157,7 @@
 }
 
 // Bound implements peers.Backend.
-func (s *trafficService) Bound(ctx context.Context, holder once.Holder, r request.Request) request.Result {
+func (s *trafficService) Bound(ctx context.Context, holder atmostonce.Holder, r request.Request) request.Result {
 	s.base.ring.Add(timeline.Event{Kind: timeline.RequestForwarded, Request: r.ID, Detail: "bound to this instance"})
 	return s.gate.HandleForwarded(ctx, holder, r)
 }
--- a/pkg/once/claims.go
+++ b/pkg/atmostonce/claims.go
@@ -1,4 +1,4 @@
-package once
+package atmostonce
 
 import (
 	"context"
--- a/pkg/once/once_test.go
+++ b/pkg/atmostonce/once_test.go
@@ -1,4 +1,4 @@
-package once_test
+package atmostonce_test
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"github.com/cobaltcroft/cobaltcroft/pkg/atmostonce"
 	"github.com/cobaltcroft/cobaltcroft/pkg/infra/etcdkv"
-	"github.com/cobaltcroft/cobaltcroft/pkg/once"
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 	"github.com/cobaltcroft/cobaltcroft/pkg/request"
 	"github.com/cobaltcroft/cobaltcroft/pkg/standin"
@@ -21,18 +21,18 @@
 
 func TestOnce(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "once")
+	RunSpecs(t, "atmostonce")
 }
 
 const secret = "a shared secret"
 
 // network forwards requests between gates by instance name.
 type network struct {
-	gates       map[string]*once.Gate
+	gates       map[string]*atmostonce.Gate
 	partitioned atomic.Bool
 }
 
-func (n *network) Forward(ctx context.Context, holder once.Holder, r request.Request) (request.Result, error) {
+func (n *network) Forward(ctx context.Context, holder atmostonce.Holder, r request.Request) (request.Result, error) {
 	gate := n.gates[holder.Instance]
 	if gate == nil || n.partitioned.Load() {
 		return request.Result{}, problem.New(problem.Unavailable, "", "cut")
@@ -49,16 +49,16 @@
 		runs    atomic.Int32
 		outcome request.Outcome
 		hold    chan struct{}
-		a, b    *once.Gate
+		a, b    *atmostonce.Gate
 	)
 
-	newGate := func(name string, incarnation uint64) *once.Gate {
+	newGate := func(name string, incarnation uint64) *atmostonce.Gate {
 		client := etcdkv.New(address, 200*time.Millisecond)
 		DeferCleanup(client.Close)
-		self := once.Holder{Instance: name, Incarnation: incarnation, PeerAddress: name}
-		gate := &once.Gate{
-			Table:   once.NewTable(clock),
-			Claims:  once.NewClaims(client, clock, time.Hour, self),
+		self := atmostonce.Holder{Instance: name, Incarnation: incarnation, PeerAddress: name}
+		gate := &atmostonce.Gate{
+			Table:   atmostonce.NewTable(clock),
+			Claims:  atmostonce.NewClaims(client, clock, time.Hour, self),
 			Forward: net,
 			Self:    self,
 			Secret:  secret,
@@ -80,7 +80,7 @@
 		server := httptest.NewServer(service)
 		DeferCleanup(server.Close)
 		address = server.URL
-		net = &network{gates: map[string]*once.Gate{}}
+		net = &network{gates: map[string]*atmostonce.Gate{}}
 		clock = clockwork.NewFakeClockAt(time.Now())
 		runs.Store(0)
 		outcome = request.Answered
@@ -92,14 +92,14 @@
 		return request.Request{ID: "r1", Organisation: "gym", Pipeline: "renewal", Input: []byte(`{}`), Deadline: time.Now().Add(5 * time.Second)}
 	}
 
-	do := func(g *once.Gate, r request.Request) request.Result {
+	do := func(g *atmostonce.Gate, r request.Request) request.Result {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		return g.Do(ctx, r)
 	}
 
 	It("runs a request once that is sent repeatedly to both instances", func() {
-		for _, g := range []*once.Gate{a, a, b, b} {
+		for _, g := range []*atmostonce.Gate{a, a, b, b} {
 			Expect(do(g, renewal())).To(SatisfyAll(HaveField("Outcome", request.Answered), HaveField("Instance", "a")))
 		}
 		Expect(runs.Load()).To(Equal(int32(1)))
@@ -110,7 +110,7 @@
 		var wg sync.WaitGroup
 		results := make([]request.Result, 10)
 		for i := range results {
-			wg.Go(func() { results[i] = do([]*once.Gate{a, b}[i%2], renewal()) })
+			wg.Go(func() { results[i] = do([]*atmostonce.Gate{a, b}[i%2], renewal()) })
 		}
 		Eventually(runs.Load).Should(Equal(int32(1)))
 		close(hold)
@@ -138,7 +138,7 @@
 
 	It("returns unknown and runs nothing after the result has expired", func() {
 		do(a, renewal())
-		clock.Advance(2 * once.Retention)
+		clock.Advance(2 * atmostonce.Retention)
 		Expect(do(a, renewal()).Outcome).To(Equal(request.Unknown))
 		Expect(runs.Load()).To(Equal(int32(1)))
 	})
@@ -201,14 +201,14 @@
 	Context("with a ticket", func() {
 		ticketed := func() request.Request {
 			r := renewal()
-			r.Ticket = a.IssueTicket(once.Key{Organisation: r.Organisation, ID: r.ID})
+			r.Ticket = a.IssueTicket(atmostonce.Key{Organisation: r.Organisation, ID: r.ID})
 			return r
 		}
 
 		It("runs once on the issuing instance during an outage of the service", func() {
 			service.SetFaults(standin.KeyValueFaults{Outage: true})
 			r := ticketed()
-			for _, g := range []*once.Gate{b, a, b, a} {
+			for _, g := range []*atmostonce.Gate{b, a, b, a} {
 				Expect(do(g, r)).To(SatisfyAll(HaveField("Outcome", request.Answered), HaveField("Instance", "a")))
 			}
 			Expect(runs.Load()).To(Equal(int32(1)))
@@ -228,10 +228,10 @@
 			r.ID = "r2"
 			Expect(do(a, r)).To(SatisfyAll(HaveField("Outcome", request.NotRun), HaveField("Problem.Kind", problem.Invalid)))
 			forged := renewal()
-			forged.Ticket = once.Ticket{Organisation: "gym", ID: "r1", Holder: b.Self, UntilMs: clock.Now().Add(time.Hour).UnixMilli()}.Sign("another secret")
+			forged.Ticket = atmostonce.Ticket{Organisation: "gym", ID: "r1", Holder: b.Self, UntilMs: clock.Now().Add(time.Hour).UnixMilli()}.Sign("another secret")
 			Expect(do(b, forged)).To(SatisfyAll(HaveField("Outcome", request.NotRun), HaveField("Problem.Kind", problem.Invalid)))
 			late := ticketed()
-			clock.Advance(once.TicketLife + time.Second)
+			clock.Advance(atmostonce.TicketLife + time.Second)
 			Expect(do(a, late).Outcome).To(Equal(request.Unknown))
 			Expect(runs.Load()).To(BeZero())
 		})
--- a/pkg/once/table.go
+++ b/pkg/atmostonce/table.go
@@ -1,7 +1,7 @@
-// Package once runs non-repeatable requests at most once. A request is bound to one incarnation of
+// Package atmostonce runs non-repeatable requests at most once. A request is bound to one incarnation of
 // an instance by a claim in the key-value service or by a ticket. On that instance, a table runs
 // one copy and returns its result to all others.
-package once
+package atmostonce
 
 import (
 	"context"
--- a/service/callers/callers.go
+++ b/service/callers/callers.go
@@ -16,9 +16,9 @@
 	"github.com/sirupsen/logrus"
 	"github.com/uptrace/bunrouter"
 
+	"github.com/cobaltcroft/cobaltcroft/pkg/atmostonce"
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
 	"github.com/cobaltcroft/cobaltcroft/pkg/endpoint"
-	"github.com/cobaltcroft/cobaltcroft/pkg/once"
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 	"github.com/cobaltcroft/cobaltcroft/pkg/request"
 	"github.com/cobaltcroft/cobaltcroft/service/api"
@@ -40,7 +40,7 @@
 // Options of the face.
 type Options struct {
 	Runner Runner
-	Gate   *once.Gate
+	Gate   *atmostonce.Gate
 	// Pipeline returns the pipeline of a name; nil if there is none.
 	Pipeline func(name string) *config.Pipeline
 	// Ready tells whether this instance serves.
@@ -100,8 +100,8 @@
 	if body.Organisation == "" || body.RequestID == "" || len(body.RequestID) > maxRequestID {
 		return respond(w, request.Refuse(body.RequestID, problem.New(problem.Invalid, "give organisation and request_id, of at most 128 characters", "a ticket needs both")))
 	}
-	ticket := f.Gate.IssueTicket(once.Key{Organisation: body.Organisation, ID: body.RequestID})
-	return writeJSON(w, http.StatusOK, api.Ticket{RequestID: body.RequestID, Ticket: ticket, ExpiresInMs: once.TicketLife.Milliseconds()})
+	ticket := f.Gate.IssueTicket(atmostonce.Key{Organisation: body.Organisation, ID: body.RequestID})
+	return writeJSON(w, http.StatusOK, api.Ticket{RequestID: body.RequestID, Ticket: ticket, ExpiresInMs: atmostonce.TicketLife.Milliseconds()})
 }
 
 func (f *Face) call(w http.ResponseWriter, r bunrouter.Request) error {
--- a/service/peers/client.go
+++ b/service/peers/client.go
@@ -11,8 +11,8 @@
 	"github.com/sourcegraph/jsonrpc2"
 	"golang.org/x/sync/singleflight"
 
+	"github.com/cobaltcroft/cobaltcroft/pkg/atmostonce"
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
-	"github.com/cobaltcroft/cobaltcroft/pkg/once"
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 	"github.com/cobaltcroft/cobaltcroft/pkg/request"
 	"github.com/cobaltcroft/cobaltcroft/service/api"
@@ -48,8 +48,8 @@
 }
 
 var (
-	_ once.Forwarder = (*Client)(nil)
-	_ config.Puller  = (*Client)(nil)
+	_ atmostonce.Forwarder = (*Client)(nil)
+	_ config.Puller        = (*Client)(nil)
 )
 
 // NewClient returns a client that presents the token for an instance, and counts the bytes of answers
@@ -66,7 +66,7 @@
 }
 
 // Forward implements once.Forwarder.
-func (c *Client) Forward(ctx context.Context, holder once.Holder, r request.Request) (request.Result, error) {
+func (c *Client) Forward(ctx context.Context, holder atmostonce.Holder, r request.Request) (request.Result, error) {
 	forward := api.Forward{
 		HolderInstance:    holder.Instance,
 		HolderIncarnation: holder.Incarnation,
--- a/service/peers/server.go
+++ b/service/peers/server.go
@@ -11,8 +11,8 @@
 	"github.com/sirupsen/logrus"
 	"github.com/sourcegraph/jsonrpc2"
 
+	"github.com/cobaltcroft/cobaltcroft/pkg/atmostonce"
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
-	"github.com/cobaltcroft/cobaltcroft/pkg/once"
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 	"github.com/cobaltcroft/cobaltcroft/pkg/request"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
@@ -34,7 +34,7 @@
 	// Since returns the configuration after a revision.
 	Since(from uint64) (config.Update, error)
 	// Bound runs a not-repeatable request that is bound to this instance.
-	Bound(ctx context.Context, holder once.Holder, r request.Request) request.Result
+	Bound(ctx context.Context, holder atmostonce.Holder, r request.Request) request.Result
 	Status() api.InstanceStatus
 	Ring() *timeline.Ring
 }
@@ -224,7 +224,7 @@
 func (h InstanceHandler) forward(ctx context.Context, f api.Forward) api.Result {
 	f.Call.Input = f.Input
 	r := convert.Request(f.Call, f.Pipeline, time.Now(), time.Duration(f.DeadlineMs)*time.Millisecond)
-	holder := once.Holder{Instance: f.HolderInstance, Incarnation: f.HolderIncarnation}
+	holder := atmostonce.Holder{Instance: f.HolderInstance, Incarnation: f.HolderIncarnation}
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
 	return convert.Result(h.Backend.Bound(ctx, holder, r))
