--- a/cmd/cobaltcroftd/daemon/services.go
+++ b/cmd/cobaltcroftd/daemon/services.go
@@ -13,13 +13,13 @@
 
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
 	"github.com/cobaltcroft/cobaltcroft/pkg/control"
-	"github.com/cobaltcroft/cobaltcroft/pkg/decision"
 	"github.com/cobaltcroft/cobaltcroft/pkg/infra"
 	"github.com/cobaltcroft/cobaltcroft/pkg/infra/etcdkv"
 	"github.com/cobaltcroft/cobaltcroft/pkg/infra/httpsd"
 	"github.com/cobaltcroft/cobaltcroft/pkg/kernel"
 	"github.com/cobaltcroft/cobaltcroft/pkg/membership"
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
+	"github.com/cobaltcroft/cobaltcroft/pkg/scheduling"
 	"github.com/cobaltcroft/cobaltcroft/pkg/settings"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
@@ -145,7 +145,7 @@
 func controlSettings(s settings.Settings, self membership.Self) control.Settings {
 	return control.Settings{
 		FailureDomain: s.FailureDomain,
-		Policy:        decision.Policy(s.Policy),
+		Policy:        scheduling.Policy(s.Policy),
 		MaxQueue:      s.Limits.QueuePerService,
 		Seed:          rand.Uint64(),
 		Self:          self,
--- a/pkg/control/control.go
+++ b/pkg/control/control.go
@@ -13,10 +13,10 @@
 	"gopkg.in/tomb.v2"
 
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
-	"github.com/cobaltcroft/cobaltcroft/pkg/decision"
 	"github.com/cobaltcroft/cobaltcroft/pkg/infra"
 	"github.com/cobaltcroft/cobaltcroft/pkg/membership"
 	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
+	"github.com/cobaltcroft/cobaltcroft/pkg/scheduling"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
 
@@ -36,7 +36,7 @@
 // Settings of the control service.
 type Settings struct {
 	FailureDomain string
-	Policy        decision.Policy
+	Policy        scheduling.Policy
 	MaxQueue      int
 	Seed          uint64
 	// Self is this instance as its peers see it.
@@ -77,7 +77,7 @@
 	listed        map[string]*listedEndpoint
 	missing       int                     // of the listed, those that the list lacks now
 	leaving       map[string]leavingSince // by endpoint, as heard from list, answers and peers
-	pools         map[string]*decision.Pool
+	pools         map[string]*scheduling.Pool
 	leavingShared atomic.Pointer[[]LeavingEndpoint]
 	members       *membership.Members
 	membersShared atomic.Pointer[[]membership.Member]
@@ -118,7 +118,7 @@
 		instances:     ratelimit.InstanceCounts{Domain: 1, All: 1},
 		listed:        map[string]*listedEndpoint{},
 		leaving:       map[string]leavingSince{},
-		pools:         map[string]*decision.Pool{},
+		pools:         map[string]*scheduling.Pool{},
 		peers:         peers,
 	}
 	c.members = membership.New(settings.Self, settings.SuspectAfter, settings.Contacts)
@@ -328,11 +328,11 @@
 
 // rebuild makes the pools of the configured services.
 func (c *Control) rebuild() {
-	pools := map[string]*decision.Pool{}
+	pools := map[string]*scheduling.Pool{}
 	for i, s := range c.configuration.Services() {
 		pool := c.pools[s.Name]
 		if pool == nil {
-			pool = decision.NewPool(decision.Config{
+			pool = scheduling.NewPool(scheduling.Config{
 				Policy:        c.settings.Policy,
 				FailureDomain: c.settings.FailureDomain,
 				Concurrency:   int(s.Concurrency),
@@ -348,14 +348,14 @@
 // updatePools gives each pool its endpoints.
 func (c *Control) updatePools() {
 	evacuated := c.configuration.Evacuated()
-	byService := map[string][]decision.Endpoint{}
+	byService := map[string][]scheduling.Endpoint{}
 	for _, l := range c.listed {
 		byService[l.Service] = append(byService[l.Service], c.convert(l, evacuated))
 	}
 	now := c.clock.Now()
 	for name, pool := range c.pools {
 		endpoints := byService[name]
-		slices.SortFunc(endpoints, func(a, b decision.Endpoint) int { return strings.Compare(a.Name, b.Name) })
+		slices.SortFunc(endpoints, func(a, b scheduling.Endpoint) int { return strings.Compare(a.Name, b.Name) })
 		pool.Update(now, int(c.configuration.Service(name).Concurrency), endpoints)
 		pool.SetInstances(c.instances.All)
 	}
@@ -363,9 +363,9 @@
 
 // convert returns an endpoint as the pools see it. One in an evacuated failure domain gets no new work,
 // as one that leaves, but comes back when its domain does.
-func (c *Control) convert(l *listedEndpoint, evacuated []string) decision.Endpoint {
+func (c *Control) convert(l *listedEndpoint, evacuated []string) scheduling.Endpoint {
 	leaving, told := c.leaving[l.Name]
-	return decision.Endpoint{
+	return scheduling.Endpoint{
 		Name:          l.Name,
 		Address:       l.Address,
 		FailureDomain: l.FailureDomain,
@@ -376,7 +376,7 @@
 }
 
 func (c *Control) publish() {
-	plans := map[string]*decision.Plan{}
+	plans := map[string]*scheduling.Plan{}
 	for _, pipeline := range c.configuration.Pipelines() {
 		plans[pipeline.Name] = c.plan(pipeline)
 	}
@@ -389,12 +389,12 @@
 	})
 }
 
-func (c *Control) plan(p *config.Pipeline) *decision.Plan {
-	steps := make([]decision.Step, len(p.Stages))
+func (c *Control) plan(p *config.Pipeline) *scheduling.Plan {
+	steps := make([]scheduling.Step, len(p.Stages))
 	for i, stage := range p.Stages {
-		steps[i] = decision.Step{Pool: c.pools[stage.Service], Inputs: p.Inputs(i)}
+		steps[i] = scheduling.Step{Pool: c.pools[stage.Service], Inputs: p.Inputs(i)}
 	}
-	return decision.NewPlan(steps)
+	return scheduling.NewPlan(steps)
 }
 
 func lastChange(c *config.Configuration) string {
--- a/pkg/control/view.go
+++ b/pkg/control/view.go
@@ -4,8 +4,8 @@
 
 import (
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
-	"github.com/cobaltcroft/cobaltcroft/pkg/decision"
 	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
+	"github.com/cobaltcroft/cobaltcroft/pkg/scheduling"
 )
 
 // View is what traffic decides by. It is immutable, but for the pools in it, which
@@ -13,9 +13,9 @@
 type View struct {
 	Configuration *config.Configuration
 	// Pools by service.
-	Pools map[string]*decision.Pool
+	Pools map[string]*scheduling.Pool
 	// Plans by pipeline.
-	Plans map[string]*decision.Plan
+	Plans map[string]*scheduling.Plan
 	// Instances is the number of live instances, this one included, in the own
 	// failure domain and in all.
 	Instances ratelimit.InstanceCounts
--- a/pkg/decision/admission_test.go
+++ b/pkg/scheduling/admission_test.go
@@ -1,4 +1,4 @@
-package decision_test
+package scheduling_test
 
 import (
 	"math/rand/v2"
@@ -8,40 +8,40 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"github.com/cobaltcroft/cobaltcroft/pkg/decision"
+	"github.com/cobaltcroft/cobaltcroft/pkg/scheduling"
 )
 
 // warm trains the latency estimates of a pool.
-func warm(p *decision.Pool, took time.Duration) {
+func warm(p *scheduling.Pool, took time.Duration) {
 	for range 40 {
 		finish(p, granted(p.Acquire(start, work("warm"))), took)
 	}
 }
 
 var _ = Describe("admission", func() {
-	var encode, generate *decision.Pool
-	var plan *decision.Plan
+	var encode, generate *scheduling.Pool
+	var plan *scheduling.Plan
 
 	BeforeEach(func() {
-		encode = newPool(decision.Adaptive, 4, endpoints(2, "here")...)
-		generate = newPool(decision.Adaptive, 2, endpoints(2, "here")...)
+		encode = newPool(scheduling.Adaptive, 4, endpoints(2, "here")...)
+		generate = newPool(scheduling.Adaptive, 2, endpoints(2, "here")...)
 		warm(encode, 10*time.Millisecond)
 		warm(generate, 100*time.Millisecond)
-		plan = decision.NewPlan([]decision.Step{{Pool: encode}, {Pool: generate, Inputs: []int{0}}})
+		plan = scheduling.NewPlan([]scheduling.Step{{Pool: encode}, {Pool: generate, Inputs: []int{0}}})
 	})
 
-	admit := func(organisation string, allowed time.Duration) (*decision.Admission, *decision.Refusal) {
+	admit := func(organisation string, allowed time.Duration) (*scheduling.Admission, *scheduling.Refusal) {
 		w := work(organisation)
 		w.Deadline = start.Add(allowed)
-		return plan.Admit(start, w, decision.AttainmentSafetyFactor)
+		return plan.Admit(start, w, scheduling.AttainmentSafetyFactor)
 	}
 
 	It("rejects before the first stage when a later stage has no capacity", func() {
-		var admitted []*decision.Admission
+		var admitted []*scheduling.Admission
 		for {
 			a, refusal := admit("a", 250*time.Millisecond)
 			if refusal != nil {
-				Expect(refusal.Reason).To(Equal(decision.TooLate))
+				Expect(refusal.Reason).To(Equal(scheduling.TooLate))
 				Expect(refusal.RetryAfter).To(BeNumerically(">", 0))
 				break
 			}
@@ -77,10 +77,10 @@
 
 	It("rejects requests past their deadline and requests without a live endpoint", func() {
 		_, refusal := admit("a", 0)
-		Expect(refusal.Reason).To(Equal(decision.TooLate))
+		Expect(refusal.Reason).To(Equal(scheduling.TooLate))
 		generate.Update(start, 2, nil)
 		_, refusal = admit("a", time.Second)
-		Expect(refusal.Reason).To(Equal(decision.NoEndpoint))
+		Expect(refusal.Reason).To(Equal(scheduling.NoEndpoint))
 	})
 
 	It("reserves the expected latency of the later stages", func() {
@@ -97,13 +97,13 @@
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			concurrency := rapid.IntRange(1, 3).Draw(t, "concurrency")
 			list := endpoints(rapid.IntRange(1, 4).Draw(t, "endpoints"), "here")
-			p := decision.NewPool(decision.Config{Policy: decision.Adaptive, FailureDomain: "here", Concurrency: concurrency, MaxQueue: 5}, rand.New(rand.NewPCG(3, 4)))
+			p := scheduling.NewPool(scheduling.Config{Policy: scheduling.Adaptive, FailureDomain: "here", Concurrency: concurrency, MaxQueue: 5}, rand.New(rand.NewPCG(3, 4)))
 			p.Update(start, concurrency, list)
 			now := start
-			var grants []*decision.Grant
-			var waiters []*decision.Waiter
+			var grants []*scheduling.Grant
+			var waiters []*scheduling.Waiter
 			leaving := map[string]bool{}
-			take := func(g *decision.Grant, fresh bool) {
+			take := func(g *scheduling.Grant, fresh bool) {
 				if fresh && leaving[g.Endpoint.Name] {
 					t.Fatalf("granted a call to leaving endpoint %s", g.Endpoint.Name)
 				}
@@ -113,7 +113,7 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 				switch rapid.IntRange(0, 4).Draw(t, "step") {
 				case 0, 1:
-					w := decision.Work{Organisation: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "org"), Rank: uint32(rapid.IntRange(0, 1).Draw(t, "rank")), Deadline: now.Add(time.Second)}
+					w := scheduling.Work{Organisation: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "org"), Rank: uint32(rapid.IntRange(0, 1).Draw(t, "rank")), Deadline: now.Add(time.Second)}
 					v := p.Acquire(now, w)
 					if v.Grant != nil {
 						take(v.Grant, true)
@@ -123,11 +123,11 @@
 					}
 				case 2:
 					if len(grants) > 0 {
-						result := decision.Result(rapid.IntRange(int(decision.Success), int(decision.Abandoned)).Draw(t, "result"))
-						if result == decision.Draining {
+						result := scheduling.Result(rapid.IntRange(int(scheduling.Success), int(scheduling.Abandoned)).Draw(t, "result"))
+						if result == scheduling.Draining {
 							leaving[grants[0].Endpoint.Name] = true
 						}
-						p.Finish(now, grants[0], result, &decision.Report{Waiting: rapid.IntRange(0, 1).Draw(t, "waiting")})
+						p.Finish(now, grants[0], result, &scheduling.Report{Waiting: rapid.IntRange(0, 1).Draw(t, "waiting")})
 						grants = grants[1:]
 					}
 				case 3:
@@ -137,7 +137,7 @@
 					p.MarkLeaving(e.Name, e.Incarnation)
 					leaving[e.Name] = true
 				}
-				var left []*decision.Waiter
+				var left []*scheduling.Waiter
 				for _, w := range waiters {
 					select {
 					case v := <-w.Done:
--- a/pkg/decision/bench_test.go
+++ b/pkg/scheduling/bench_test.go
@@ -1,4 +1,4 @@
-package decision_test
+package scheduling_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/cobaltcroft/cobaltcroft/pkg/decision"
+	"github.com/cobaltcroft/cobaltcroft/pkg/scheduling"
 )
 
 // BenchmarkAcquire measures Acquire followed by Finish at the fleet sizes in docs/CAPACITY.md.
@@ -23,16 +23,16 @@
 
 func benchAcquire(b *testing.B, n int, busy float64) {
 	const concurrency = 8
-	p := decision.NewPool(decision.Config{Policy: decision.Adaptive, FailureDomain: "here", Concurrency: concurrency, MaxQueue: 1024}, rand.New(rand.NewPCG(1, 2)))
+	p := scheduling.NewPool(scheduling.Config{Policy: scheduling.Adaptive, FailureDomain: "here", Concurrency: concurrency, MaxQueue: 1024}, rand.New(rand.NewPCG(1, 2)))
 	p.Update(start, concurrency, append(endpoints(n/11+1, "here"), endpoints(n-n/11-1, "there")...))
-	w := decision.Work{Organisation: "a", Weight: 1, Deadline: start.Add(time.Hour)}
+	w := scheduling.Work{Organisation: "a", Weight: 1, Deadline: start.Add(time.Hour)}
 	for range int(float64(n*concurrency) * busy) {
 		p.Acquire(start, w)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		v := p.Acquire(start, w)
-		p.Finish(start, v.Grant, decision.Success, nil)
+		p.Finish(start, v.Grant, scheduling.Success, nil)
 	}
 }
 
@@ -40,20 +40,20 @@
 func BenchmarkAdmit(b *testing.B) {
 	for _, n := range []int{50, 12000} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			steps := make([]decision.Step, 4)
+			steps := make([]scheduling.Step, 4)
 			for i := range steps {
-				p := decision.NewPool(decision.Config{Policy: decision.Adaptive, FailureDomain: "here", Concurrency: 8, MaxQueue: 1024}, rand.New(rand.NewPCG(1, 2)))
+				p := scheduling.NewPool(scheduling.Config{Policy: scheduling.Adaptive, FailureDomain: "here", Concurrency: 8, MaxQueue: 1024}, rand.New(rand.NewPCG(1, 2)))
 				p.Update(start, 8, endpoints(n/4, "here"))
 				steps[i].Pool = p
 				if i > 0 {
 					steps[i].Inputs = []int{i - 1}
 				}
 			}
-			plan := decision.NewPlan(steps)
-			w := decision.Work{Organisation: "a", Weight: 1, Deadline: start.Add(time.Hour)}
+			plan := scheduling.NewPlan(steps)
+			w := scheduling.Work{Organisation: "a", Weight: 1, Deadline: start.Add(time.Hour)}
 			b.ReportAllocs()
 			for b.Loop() {
-				a, _ := plan.Admit(start, w, decision.AttainmentSafetyFactor)
+				a, _ := plan.Admit(start, w, scheduling.AttainmentSafetyFactor)
 				a.Close()
 			}
 		})
@@ -65,7 +65,7 @@
 	const n = 12_000
 	for b.Loop() {
 		before := heapBytes()
-		p := newPool(decision.Adaptive, 8, endpoints(n, "here")...)
+		p := newPool(scheduling.Adaptive, 8, endpoints(n, "here")...)
 		b.ReportMetric(float64(heapBytes()-before)/n, "B/endpoint")
 		runtime.KeepAlive(p)
 	}
--- a/pkg/decision/estimate.go
+++ b/pkg/scheduling/estimate.go
@@ -1,4 +1,4 @@
-package decision
+package scheduling
 
 import (
 	"math"
--- a/pkg/decision/replay_test.go
+++ b/pkg/scheduling/replay_test.go
@@ -1,4 +1,4 @@
-package decision_test
+package scheduling_test
 
 import (
 	"container/heap"
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
-	"github.com/cobaltcroft/cobaltcroft/pkg/decision"
+	"github.com/cobaltcroft/cobaltcroft/pkg/scheduling"
 	"github.com/cobaltcroft/cobaltcroft/pkg/trace"
 )
 
@@ -39,8 +39,8 @@
 
 // fakeInstance holds the pools and plans of one instance.
 type fakeInstance struct {
-	pools map[string]*decision.Pool
-	plans map[string]*decision.Plan
+	pools map[string]*scheduling.Pool
+	plans map[string]*scheduling.Plan
 }
 
 type fakeRequest struct {
@@ -48,21 +48,21 @@
 	instance    *fakeInstance
 	pipeline    config.Pipeline
 	deadline    time.Time
-	work        decision.Work
-	admission   *decision.Admission
+	work        scheduling.Work
+	admission   *scheduling.Admission
 	metDeadline bool
 }
 
-func newReplay(fleet trace.Fleet, policy decision.Policy) *replay {
-	r := &replay{fleet: fleet, now: start, endpoints: map[string]*fakeEndpoint{}, spent: map[*fakeRequest]time.Duration{}, baselinePolicy: policy != decision.Adaptive}
+func newReplay(fleet trace.Fleet, policy scheduling.Policy) *replay {
+	r := &replay{fleet: fleet, now: start, endpoints: map[string]*fakeEndpoint{}, spent: map[*fakeRequest]time.Duration{}, baselinePolicy: policy != scheduling.Adaptive}
 	for n, domain := range fleet.Domains {
-		i := &fakeInstance{pools: map[string]*decision.Pool{}, plans: map[string]*decision.Plan{}}
+		i := &fakeInstance{pools: map[string]*scheduling.Pool{}, plans: map[string]*scheduling.Plan{}}
 		for _, s := range fleet.Services {
-			pool := decision.NewPool(decision.Config{Policy: policy, FailureDomain: domain, MaxQueue: 1024}, rand.New(rand.NewPCG(uint64(n), 9)))
-			var list []decision.Endpoint
+			pool := scheduling.NewPool(scheduling.Config{Policy: policy, FailureDomain: domain, MaxQueue: 1024}, rand.New(rand.NewPCG(uint64(n), 9)))
+			var list []scheduling.Endpoint
 			for e := range s.Endpoints {
 				name := trace.EndpointName(s.Name, e)
-				list = append(list, decision.Endpoint{Name: name, FailureDomain: fleet.Domains[e%len(fleet.Domains)], Incarnation: 1})
+				list = append(list, scheduling.Endpoint{Name: name, FailureDomain: fleet.Domains[e%len(fleet.Domains)], Incarnation: 1})
 				r.endpoints[name] = &fakeEndpoint{slots: s.Concurrency, slow: 1}
 			}
 			pool.Update(start, s.Concurrency, list)
@@ -70,11 +70,11 @@
 			i.pools[s.Name] = pool
 		}
 		for _, p := range fleet.Pipelines {
-			var steps []decision.Step
+			var steps []scheduling.Step
 			for k, stage := range p.Stages {
-				steps = append(steps, decision.Step{Pool: i.pools[stage.Service], Inputs: p.Inputs(k)})
+				steps = append(steps, scheduling.Step{Pool: i.pools[stage.Service], Inputs: p.Inputs(k)})
 			}
-			i.plans[p.Name] = decision.NewPlan(steps)
+			i.plans[p.Name] = scheduling.NewPlan(steps)
 		}
 		r.instances = append(r.instances, i)
 	}
@@ -112,17 +112,17 @@
 		return
 	}
 	q := &fakeRequest{Request: e.Request, instance: r.instances[n%len(r.instances)]}
-	safetyFactor := decision.AttainmentSafetyFactor
+	safetyFactor := scheduling.AttainmentSafetyFactor
 	for _, p := range r.fleet.Pipelines {
 		if p.Name == e.Request.Pipeline {
 			q.pipeline = p
 			q.deadline = r.now.Add(p.Deadline())
 			if p.Objective == config.Cost {
-				safetyFactor = decision.CostSafetyFactor
+				safetyFactor = scheduling.CostSafetyFactor
 			}
 		}
 	}
-	q.work = decision.Work{Organisation: e.Request.Organisation, Weight: 1, Deadline: q.deadline}
+	q.work = scheduling.Work{Organisation: e.Request.Organisation, Weight: 1, Deadline: q.deadline}
 	for _, o := range r.fleet.Organisations {
 		if o.Name == e.Request.Organisation {
 			q.work.Weight = float64(o.Weight)
@@ -155,7 +155,7 @@
 }
 
 // poll checks every millisecond whether the waiter has a result.
-func (r *replay) poll(q *fakeRequest, k int, tried []string, w *decision.Waiter) {
+func (r *replay) poll(q *fakeRequest, k int, tried []string, w *scheduling.Waiter) {
 	select {
 	case v := <-w.Done:
 		r.acquired(q, k, tried, v)
@@ -164,7 +164,7 @@
 	}
 }
 
-func (r *replay) acquired(q *fakeRequest, k int, tried []string, v decision.AcquireResult) {
+func (r *replay) acquired(q *fakeRequest, k int, tried []string, v scheduling.AcquireResult) {
 	pool := q.instance.pools[q.pipeline.Stages[k].Service]
 	if v.Refusal != nil {
 		q.admission.Close()
@@ -173,7 +173,7 @@
 	e := r.endpoints[v.Grant.Endpoint.Name]
 	tried = append(tried, v.Grant.Endpoint.Name)
 	if e.dead {
-		pool.Finish(r.now, v.Grant, decision.Unreachable, nil)
+		pool.Finish(r.now, v.Grant, scheduling.Unreachable, nil)
 		if r.baselinePolicy && len(tried) > 1 {
 			q.admission.Close()
 			return
@@ -194,7 +194,7 @@
 	e.waiting = append(e.waiting, begin)
 }
 
-func (r *replay) finish(q *fakeRequest, k int, g *decision.Grant, e *fakeEndpoint, took time.Duration, broken bool) {
+func (r *replay) finish(q *fakeRequest, k int, g *scheduling.Grant, e *fakeEndpoint, took time.Duration, broken bool) {
 	r.spent[q] += took
 	e.running--
 	if len(e.waiting) > 0 {
@@ -203,11 +203,11 @@
 		e.waiting = e.waiting[1:]
 		next()
 	}
-	result := decision.Success
+	result := scheduling.Success
 	if broken {
-		result = decision.Abandoned
+		result = scheduling.Abandoned
 	}
-	q.instance.pools[q.pipeline.Stages[k].Service].Finish(r.now, g, result, &decision.Report{Running: e.running, Waiting: len(e.waiting)})
+	q.instance.pools[q.pipeline.Stages[k].Service].Finish(r.now, g, result, &scheduling.Report{Running: e.running, Waiting: len(e.waiting)})
 	if broken {
 		q.admission.Close()
 		return
@@ -220,7 +220,7 @@
 // does not apply.
 const negligibleWaste = 0.02
 
-func replayed(fleet trace.Fleet, policy decision.Policy, t *trace.Trace) outcome {
+func replayed(fleet trace.Fleet, policy scheduling.Policy, t *trace.Trace) outcome {
 	r := newReplay(fleet, policy)
 	r.run(t)
 	return r.outcome()
@@ -290,10 +290,10 @@
 				defer file.Close()
 				t, err := trace.Read(file)
 				Expect(err).NotTo(HaveOccurred())
-				got := replayed(fleet, decision.Adaptive, t)
+				got := replayed(fleet, scheduling.Adaptive, t)
 				AddReportEntry("adaptive", fmt.Sprintf("%+v", got))
 				best := outcome{wasted: 1}
-				for _, policy := range []decision.Policy{decision.Random, decision.RoundRobin, decision.LeastInFlight, decision.StrictLocal} {
+				for _, policy := range []scheduling.Policy{scheduling.Random, scheduling.RoundRobin, scheduling.LeastInFlight, scheduling.StrictLocal} {
 					baseline := replayed(fleet, policy, t)
 					AddReportEntry(string(policy), fmt.Sprintf("%+v", baseline))
 					best.attainment = max(best.attainment, baseline.attainment)
--- a/pkg/decision/types.go
+++ b/pkg/scheduling/types.go
@@ -1,7 +1,7 @@
-// Package decision implements admission control, queueing and endpoint selection for the stages of
+// Package scheduling implements admission control, queueing and endpoint selection for the stages of
 // a request. It performs no I/O, starts no goroutines and reads no clock: callers pass in the time
 // and the random source, so that decisions are reproducible.
-package decision
+package scheduling
 
 import (
 	"time"
--- a/pkg/traffic/executor.go
+++ b/pkg/traffic/executor.go
@@ -13,11 +13,11 @@
 
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
 	"github.com/cobaltcroft/cobaltcroft/pkg/control"
-	"github.com/cobaltcroft/cobaltcroft/pkg/decision"
 	"github.com/cobaltcroft/cobaltcroft/pkg/endpoint"
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 	"github.com/cobaltcroft/cobaltcroft/pkg/request"
+	"github.com/cobaltcroft/cobaltcroft/pkg/scheduling"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
 
@@ -68,9 +68,9 @@
 	request  request.Request
 	view     *control.View
 	pipeline *config.Pipeline
-	plan     *decision.Plan
-	work     decision.Work
-	place    *decision.Admission
+	plan     *scheduling.Plan
+	work     scheduling.Work
+	place    *scheduling.Admission
 	effects  *effects
 	sink     func(endpoint.Token) error
 	started  time.Time
@@ -138,11 +138,11 @@
 	return run.execute(ctx)
 }
 
-func caution(o config.Objective) decision.SafetyFactor {
+func caution(o config.Objective) scheduling.SafetyFactor {
 	if o == config.Cost {
-		return decision.CostSafetyFactor
+		return scheduling.CostSafetyFactor
 	}
-	return decision.AttainmentSafetyFactor
+	return scheduling.AttainmentSafetyFactor
 }
 
 // prepare looks up what the request names.
@@ -163,7 +163,7 @@
 		}
 		rank = priority.Rank
 	}
-	work := decision.Work{Organisation: r.Organisation, Weight: float64(organisation.Weight), Rank: rank, Deadline: r.Deadline}
+	work := scheduling.Work{Organisation: r.Organisation, Weight: float64(organisation.Weight), Rank: rank, Deadline: r.Deadline}
 	return &run{
 		Executor: x,
 		request:  r,
@@ -186,20 +186,20 @@
 	return reports
 }
 
-func (r *run) refused(refusal *decision.Refusal) request.Result {
+func (r *run) refused(refusal *scheduling.Refusal) request.Result {
 	result := request.Refuse(r.request.ID, refusalProblem(refusal, "the request"))
 	result.RetryAfterMs = refusal.RetryAfter.Milliseconds()
 	return result
 }
 
 // refusalProblem explains a refusal of the decision package.
-func refusalProblem(refusal *decision.Refusal, what string) *problem.Problem {
+func refusalProblem(refusal *scheduling.Refusal, what string) *problem.Problem {
 	switch refusal.Reason {
-	case decision.NoEndpoint:
+	case scheduling.NoEndpoint:
 		return problem.New(problem.Unavailable, "check the endpoints of the service with 'cobaltcroft status'", "no endpoint is left that could run %s", what)
-	case decision.TooLate:
+	case scheduling.TooLate:
 		return problem.New(problem.Deadline, "ask again later, or allow more time", "%s would not end within its deadline", what)
-	case decision.OverShare:
+	case scheduling.OverShare:
 		return problem.New(problem.Overloaded, "ask again later, or ask less at a time", "%s waited over its organisation's share", what)
 	}
 	return problem.New(problem.Overloaded, "ask again later", "too much waits before %s", what)
--- a/pkg/traffic/stage.go
+++ b/pkg/traffic/stage.go
@@ -9,9 +9,9 @@
 
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
 	"github.com/cobaltcroft/cobaltcroft/pkg/control"
-	"github.com/cobaltcroft/cobaltcroft/pkg/decision"
 	"github.com/cobaltcroft/cobaltcroft/pkg/endpoint"
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
+	"github.com/cobaltcroft/cobaltcroft/pkg/scheduling"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
 
@@ -34,7 +34,7 @@
 	*run
 	index int
 	stage *config.Stage
-	pool  *decision.Pool
+	pool  *scheduling.Pool
 	// tried endpoints are not tried again.
 	tried []string
 	// tokens received so far, over all attempts of a generation stage.
@@ -45,7 +45,7 @@
 // attemptEnd is how an attempt ended: with an answer or with why there is none.
 type attemptEnd struct {
 	answer endpoint.Answer
-	grant  *decision.Grant
+	grant  *scheduling.Grant
 	err    error
 }
 
@@ -76,7 +76,7 @@
 	defer cancel()
 	ends := make(chan attemptEnd, maxAttempts)
 	running := 0
-	launch := func(grant *decision.Grant) {
+	launch := func(grant *scheduling.Grant) {
 		running++
 		s.background.Go(func() { ends <- s.call(ctx, grant) })
 	}
@@ -117,7 +117,7 @@
 
 // acquire waits for an endpoint. If there is none to be had, cause, the failure of
 // the attempt before, is the better explanation.
-func (s *stageRun) acquire(ctx context.Context, cause error) (*decision.Grant, error) {
+func (s *stageRun) acquire(ctx context.Context, cause error) (*scheduling.Grant, error) {
 	verdict := s.pool.Acquire(s.Clock.Now(), s.stageWork())
 	if verdict.Waiter != nil {
 		verdict = s.wait(ctx, verdict.Waiter)
@@ -135,7 +135,7 @@
 }
 
 // wait returns the verdict on waiting work; an empty one if ctx ends first.
-func (s *stageRun) wait(ctx context.Context, w *decision.Waiter) decision.AcquireResult {
+func (s *stageRun) wait(ctx context.Context, w *scheduling.Waiter) scheduling.AcquireResult {
 	select {
 	case verdict := <-w.Done:
 		return verdict
@@ -143,12 +143,12 @@
 	}
 	verdict, came := s.pool.Withdraw(w)
 	if came && verdict.Grant != nil {
-		s.pool.Finish(s.Clock.Now(), verdict.Grant, decision.Abandoned, nil)
+		s.pool.Finish(s.Clock.Now(), verdict.Grant, scheduling.Abandoned, nil)
 	}
-	return decision.AcquireResult{}
+	return scheduling.AcquireResult{}
 }
 
-func (s *stageRun) stageWork() decision.Work {
+func (s *stageRun) stageWork() scheduling.Work {
 	work := s.work
 	work.Deadline = s.plan.StageDeadline(s.Clock.Now(), s.index, s.request.Deadline)
 	work.Exclude = s.tried
@@ -165,7 +165,7 @@
 }
 
 // call makes one attempt at a granted endpoint.
-func (s *stageRun) call(ctx context.Context, grant *decision.Grant) attemptEnd {
+func (s *stageRun) call(ctx context.Context, grant *scheduling.Grant) attemptEnd {
 	attempt := endpoint.Attempt{Request: s.request.ID, Stage: s.stage.Name, ID: uuid.NewString()}
 	s.Metrics.attempts.Inc()
 	s.Ring.Add(timeline.Event{Kind: timeline.StageStarted, Request: attempt.Request, Stage: attempt.Stage, Attempt: attempt.ID, Endpoint: grant.Endpoint.Name, Detail: localText(grant.Local)})
@@ -185,7 +185,7 @@
 	return "other failure domain"
 }
 
-func (s *stageRun) send(ctx context.Context, grant *decision.Grant, attempt endpoint.Attempt) (endpoint.Answer, error) {
+func (s *stageRun) send(ctx context.Context, grant *scheduling.Grant, attempt endpoint.Attempt) (endpoint.Answer, error) {
 	call := endpoint.Call{
 		Attempt:        attempt,
 		Organisation:   s.request.Organisation,
@@ -204,11 +204,11 @@
 }
 
 // settle tells the pool, the effects and the time line what an attempt did.
-func (s *stageRun) settle(ctx context.Context, grant *decision.Grant, attempt endpoint.Attempt, answer endpoint.Answer, err error) {
+func (s *stageRun) settle(ctx context.Context, grant *scheduling.Grant, attempt endpoint.Attempt, answer endpoint.Answer, err error) {
 	now := s.Clock.Now()
 	if err == nil {
 		s.effects.ended(attempt.ID, true)
-		s.pool.Finish(now, grant, decision.Success, reportOf(answer.Load))
+		s.pool.Finish(now, grant, scheduling.Success, reportOf(answer.Load))
 		s.noteDraining(grant, answer.Load)
 		return
 	}
@@ -233,7 +233,7 @@
 	s.Log.WithFields(map[string]any{"event": string(kind), "request": attempt.Request, "stage": attempt.Stage, "attempt": attempt.ID, "endpoint": grant.Endpoint.Name}).Debug(e.Error())
 }
 
-func (s *stageRun) noteDraining(grant *decision.Grant, load *endpoint.Load) {
+func (s *stageRun) noteDraining(grant *scheduling.Grant, load *endpoint.Load) {
 	if load == nil || !load.Draining {
 		return
 	}
@@ -243,7 +243,7 @@
 
 // settleEffect ends the account of an attempt, at once if its end is certain, else
 // once the endpoint has confirmed that it was cancelled.
-func (s *stageRun) settleEffect(grant *decision.Grant, attempt endpoint.Attempt, e *endpoint.Error) {
+func (s *stageRun) settleEffect(grant *scheduling.Grant, attempt endpoint.Attempt, e *endpoint.Error) {
 	switch e.Effect {
 	case endpoint.NotSent, endpoint.Refused:
 		s.effects.ended(attempt.ID, false)
@@ -262,28 +262,28 @@
 }
 
 // resultOf is what a failed call tells about the endpoint.
-func resultOf(ctx context.Context, e *endpoint.Error) decision.Result {
+func resultOf(ctx context.Context, e *endpoint.Error) scheduling.Result {
 	switch {
 	case e.Effect == endpoint.NotSent && ctx.Err() == nil:
-		return decision.Unreachable
+		return scheduling.Unreachable
 	case e.Effect == endpoint.Refused && e.Draining:
-		return decision.Draining
+		return scheduling.Draining
 	case e.Effect == endpoint.Refused && e.Lacking:
-		return decision.ModelMissing
+		return scheduling.ModelMissing
 	case e.Effect == endpoint.Refused:
-		return decision.Busy
+		return scheduling.Busy
 	case e.Effect == endpoint.Stopped || ctx.Err() != nil:
 		// A deadline that passes says nothing by itself: the call may have begun late.
-		return decision.Abandoned
+		return scheduling.Abandoned
 	}
-	return decision.Failure
+	return scheduling.Failure
 }
 
-func reportOf(load *endpoint.Load) *decision.Report {
+func reportOf(load *endpoint.Load) *scheduling.Report {
 	if load == nil {
 		return nil
 	}
-	return &decision.Report{Running: load.Running, Waiting: load.Waiting}
+	return &scheduling.Report{Running: load.Running, Waiting: load.Waiting}
 }
 
 // mayRetry tells whether another attempt may follow one that failed with err. What
@@ -326,7 +326,7 @@
 // hedge returns a grant for a second attempt beside a slow one, or nil. Only work
 // that may be repeated is, while endpoints are free, and within the retry budget.
 // Streams are not hedged but resumed, see generate.
-func (s *stageRun) hedge(running int) *decision.Grant {
+func (s *stageRun) hedge(running int) *scheduling.Grant {
 	if s.Baseline || !s.request.Repeatable || s.stage.Kind == config.Generation {
 		return nil
 	}
--- a/pkg/traffic/suite_test.go
+++ b/pkg/traffic/suite_test.go
@@ -16,12 +16,12 @@
 
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
 	"github.com/cobaltcroft/cobaltcroft/pkg/control"
-	"github.com/cobaltcroft/cobaltcroft/pkg/decision"
 	"github.com/cobaltcroft/cobaltcroft/pkg/endpoint"
 	"github.com/cobaltcroft/cobaltcroft/pkg/endpoint/openinference"
 	"github.com/cobaltcroft/cobaltcroft/pkg/logging"
 	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 	"github.com/cobaltcroft/cobaltcroft/pkg/request"
+	"github.com/cobaltcroft/cobaltcroft/pkg/scheduling"
 	"github.com/cobaltcroft/cobaltcroft/pkg/standin"
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 	"github.com/cobaltcroft/cobaltcroft/pkg/traffic"
@@ -40,7 +40,7 @@
 	site     *standin.Site
 	executor *traffic.Executor
 	ring     *timeline.Ring
-	pools    map[string]*decision.Pool
+	pools    map[string]*scheduling.Pool
 
 	mu      sync.Mutex
 	leaving []string
@@ -142,7 +142,7 @@
 }
 
 func startBench() (b *bench, stop func()) {
-	b = &bench{pools: map[string]*decision.Pool{}}
+	b = &bench{pools: map[string]*scheduling.Pool{}}
 	settings := standin.SiteSettings{}
 	for _, s := range services {
 		for _, suffix := range []string{"1", "2"} {
@@ -210,20 +210,20 @@
 	configuration, err := config.Empty().Check(change)
 	must(err)
 	b.makePools()
-	plans := map[string]*decision.Plan{}
+	plans := map[string]*scheduling.Plan{}
 	for _, p := range configuration.Pipelines() {
-		var steps []decision.Step
+		var steps []scheduling.Step
 		for i, s := range p.Stages {
-			steps = append(steps, decision.Step{Pool: b.pools[s.Service], Inputs: p.Inputs(i)})
+			steps = append(steps, scheduling.Step{Pool: b.pools[s.Service], Inputs: p.Inputs(i)})
 		}
-		plans[p.Name] = decision.NewPlan(steps)
+		plans[p.Name] = scheduling.NewPlan(steps)
 	}
 	return &control.View{Configuration: configuration, Pools: b.pools, Plans: plans, Instances: ratelimit.InstanceCounts{Domain: 1, All: 1}, Confirmed: true}
 }
 
 func (b *bench) makePools() {
 	for _, s := range services {
-		b.pools[s.Name] = decision.NewPool(decision.Config{Policy: decision.Adaptive, FailureDomain: "here", Concurrency: 4, MaxQueue: 100}, rand.New(rand.NewPCG(1, 2)))
+		b.pools[s.Name] = scheduling.NewPool(scheduling.Config{Policy: scheduling.Adaptive, FailureDomain: "here", Concurrency: 4, MaxQueue: 100}, rand.New(rand.NewPCG(1, 2)))
 		b.both(s.Name)
 	}
 }
@@ -234,9 +234,9 @@
 func (b *bench) onlyFirst(service string) { b.update(service, "1") }
 
 func (b *bench) update(service string, suffixes ...string) {
-	var list []decision.Endpoint
+	var list []scheduling.Endpoint
 	for _, suffix := range suffixes {
-		list = append(list, decision.Endpoint{Name: service + "-" + suffix, Address: b.endpoint(service, suffix).Address(), FailureDomain: "here", Incarnation: 1})
+		list = append(list, scheduling.Endpoint{Name: service + "-" + suffix, Address: b.endpoint(service, suffix).Address(), FailureDomain: "here", Incarnation: 1})
 	}
 	b.pools[service].Update(time.Now(), 4, list)
 }
