--- a/pkg/atmostonce/once_test.go
+++ b/pkg/atmostonce/once_test.go
@@ -19,7 +19,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/standin"
 )
 
-func TestOnce(t *testing.T) {
+func TestAtMostOnce(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "atmostonce")
 }
--- a/pkg/balance/backoff_test.go
+++ b/pkg/balance/backoff_test.go
@@ -27,16 +27,16 @@
 	})
 
 	DescribeTable("are not selected",
-		func(need balance.CallSpec) {
+		func(spec balance.CallSpec) {
 			backoffs.Start("a", time.Second)
 			for range 20 {
-				call := b.Pick(all, need)
+				call := b.Pick(all, spec)
 				Expect(call.Endpoint.ID).To(Equal("b"))
 				call.End(balance.Succeeded, nil)
 			}
-			Expect(b.Options(all, need, 2)).To(HaveLen(1))
+			Expect(b.Options(all, spec, 2)).To(HaveLen(1))
 			clock.Advance(time.Second)
-			Expect(b.Options(all, need, 2)).To(HaveLen(2))
+			Expect(b.Options(all, spec, 2)).To(HaveLen(2))
 		},
 		Entry("by cost", balance.CallSpec{}),
 		Entry("by prompt affinity", balance.CallSpec{Engine: true, Parts: []balance.Part{{ID: "shared", Tokens: 100}, {ID: "own", Tokens: 1}}}),
--- a/pkg/balance/balance_test.go
+++ b/pkg/balance/balance_test.go
@@ -42,12 +42,12 @@
 		}
 	})
 
-	need := balance.CallSpec{Domain: "a"}
+	spec := balance.CallSpec{Domain: "a"}
 
-	picks := func(n int, need balance.CallSpec) map[string]int {
+	picks := func(n int, spec balance.CallSpec) map[string]int {
 		chosen := map[string]int{}
 		for range n {
-			c := b.Pick(all, need)
+			c := b.Pick(all, spec)
 			chosen[c.Endpoint.ID]++
 			clock.Advance(2 * time.Millisecond)
 			c.ResponseStarted()
@@ -61,7 +61,7 @@
 	}
 
 	It("prefers its own failure domain and balances calls within it", func() {
-		chosen := picks(40, need)
+		chosen := picks(40, spec)
 		Expect(chosen["b1"] + chosen["b2"]).To(BeZero())
 		Expect(chosen["a1"]).To(BeNumerically(">", 5))
 		Expect(chosen["a2"]).To(BeNumerically(">", 5))
@@ -69,17 +69,17 @@
 
 	It("uses other failure domains when those of its own are busy", func() {
 		for range 40 {
-			b.Pick(all, need)
+			b.Pick(all, spec)
 		}
 		Expect(b.InFlight("b1") + b.InFlight("b2")).To(BeNumerically(">", 0))
 	})
 
 	It("takes recently reported load into account", func() {
-		c := b.Pick(all[:1], need)
+		c := b.Pick(all[:1], spec)
 		c.End(balance.Succeeded, &balance.Load{Running: 4, Waiting: 40, Slots: 4})
-		Expect(picks(10, need)["a1"]).To(BeZero())
+		Expect(picks(10, spec)["a1"]).To(BeZero())
 		clock.Advance(time.Second)
-		Expect(picks(40, need)["a1"]).To(BeNumerically(">", 0))
+		Expect(picks(40, spec)["a1"]).To(BeNumerically(">", 0))
 	})
 
 	It("never selects excluded endpoints", func() {
@@ -92,11 +92,11 @@
 	DescribeTable("temporarily ejects an endpoint that",
 		func(outcomes ...balance.Outcome) {
 			for _, o := range outcomes {
-				b.Pick(all[:1], need).End(o, nil)
+				b.Pick(all[:1], spec).End(o, nil)
 			}
-			Expect(picks(20, need)["a1"]).To(BeZero())
+			Expect(picks(20, spec)["a1"]).To(BeZero())
 			clock.Advance(time.Minute)
-			Expect(picks(40, need)["a1"]).To(BeNumerically(">", 0))
+			Expect(picks(40, spec)["a1"]).To(BeNumerically(">", 0))
 		},
 		Entry("was unreachable", balance.Unreachable),
 		Entry("failed twice", balance.Failed, balance.Failed),
@@ -104,29 +104,29 @@
 	)
 
 	It("avoids the failure domain of a silent endpoint until another one responds", func() {
-		c := b.Pick(all[:1], need)
+		c := b.Pick(all[:1], spec)
 		clock.Advance(300 * time.Millisecond)
 		c.End(balance.Unreachable, nil)
-		Expect(b.Pick(all, need).Endpoint.FailureDomain).To(Equal("b"))
-		c = b.Pick(all[1:2], need)
+		Expect(b.Pick(all, spec).Endpoint.FailureDomain).To(Equal("b"))
+		c = b.Pick(all[1:2], spec)
 		c.ResponseStarted()
 		c.End(balance.Succeeded, nil)
-		Expect(b.Pick(all, need).Endpoint.ID).To(Equal("a2"))
-		b.Pick(all[:1], need).End(balance.Unreachable, nil)
-		Expect(b.Pick(all, need).Endpoint.ID).To(Equal("a2"), "a refused connection says nothing about the failure domain")
+		Expect(b.Pick(all, spec).Endpoint.ID).To(Equal("a2"))
+		b.Pick(all[:1], spec).End(balance.Unreachable, nil)
+		Expect(b.Pick(all, spec).Endpoint.ID).To(Equal("a2"), "a refused connection says nothing about the failure domain")
 	})
 
 	It("uses ejected endpoints as a last resort", func() {
 		for range 3 {
-			b.Pick(all[:1], need).End(balance.Unreachable, nil)
+			b.Pick(all[:1], spec).End(balance.Unreachable, nil)
 		}
-		Expect(b.Pick(all[:1], need)).NotTo(BeNil())
+		Expect(b.Pick(all[:1], spec)).NotTo(BeNil())
 	})
 
 	It("avoids an endpoint with an overdue call", func() {
-		b.Pick(all[:1], need)
+		b.Pick(all[:1], spec)
 		clock.Advance(5 * time.Second)
-		Expect(picks(20, need)["a1"]).To(BeZero())
+		Expect(picks(20, spec)["a1"]).To(BeZero())
 	})
 
 	It("sends prompts with a common prefix to the same engine from every instance", func() {
@@ -177,7 +177,7 @@
 		preferring.Exclude = map[string]bool{"a2": true}
 		Expect(b.Pick(all, preferring).Endpoint.ID).NotTo(Equal("a2"))
 		preferring.Exclude = nil
-		b.Pick(all[1:2], need).End(balance.Unreachable, nil)
+		b.Pick(all[1:2], spec).End(balance.Unreachable, nil)
 		Expect(b.Pick(all, preferring).Endpoint.ID).NotTo(Equal("a2"))
 		preferring.Prefer = "gone"
 		Expect(b.Pick(all, preferring)).NotTo(BeNil())
@@ -194,15 +194,15 @@
 		}
 		Expect(domains).To(HaveLen(2))
 		Expect(b.Pick(all, prompt("s", "own")).Endpoint.ID).To(Equal(options[0].Endpoint.ID))
-		b.Pick(all[:1], need).End(balance.Unreachable, nil)
-		for _, option := range b.Options(all, need, 4) {
+		b.Pick(all[:1], spec).End(balance.Unreachable, nil)
+		for _, option := range b.Options(all, spec, 4) {
 			Expect(option.Endpoint.ID).NotTo(Equal("a1"))
 		}
 	})
 
 	It("drops the state of removed endpoints", func() {
-		b.Pick(all[:1], need).End(balance.Unreachable, nil)
+		b.Pick(all[:1], spec).End(balance.Unreachable, nil)
 		b.Forget(func(string) bool { return false })
-		Expect(picks(40, need)["a1"]).To(BeNumerically(">", 0))
+		Expect(picks(40, spec)["a1"]).To(BeNumerically(">", 0))
 	})
 })
--- a/pkg/balance/bench_test.go
+++ b/pkg/balance/bench_test.go
@@ -21,10 +21,10 @@
 			chooser := balance.New(clock, noBackoffs(clock))
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				need := balance.CallSpec{Engine: true, Domain: "zone-1", Parts: []balance.Part{{ID: "system", Tokens: 500}, {ID: fmt.Sprint("s", i%300), Tokens: 5000}, {ID: fmt.Sprint(i), Tokens: 1000}}}
-				chooser.Estimate(all, need)
-				chooser.Options(all, need, 6)
-				chooser.Pick(all, need).End(balance.Succeeded, nil)
+				spec := balance.CallSpec{Engine: true, Domain: "zone-1", Parts: []balance.Part{{ID: "system", Tokens: 500}, {ID: fmt.Sprint("s", i%300), Tokens: 5000}, {ID: fmt.Sprint(i), Tokens: 1000}}}
+				chooser.Estimate(all, spec)
+				chooser.Options(all, spec, 6)
+				chooser.Pick(all, spec).End(balance.Succeeded, nil)
 			}
 		})
 	}
--- a/pkg/balance/cold_test.go
+++ b/pkg/balance/cold_test.go
@@ -38,7 +38,7 @@
 		}
 	})
 
-	need := func(owner bool) balance.CallSpec {
+	spec := func(owner bool) balance.CallSpec {
 		return balance.CallSpec{
 			Engine: true,
 			Parts:  []balance.Part{{ID: "system", Tokens: 100}, {ID: "subject", Tokens: 4000}, {ID: "own", Tokens: 10}},
@@ -47,10 +47,10 @@
 	}
 
 	// picks makes n calls at 5 ms intervals and counts them per endpoint.
-	picks := func(n int, need balance.CallSpec) map[string]int {
+	picks := func(n int, spec balance.CallSpec) map[string]int {
 		chosen := map[string]int{}
 		for range n {
-			if c := b.Pick(all, need); c != nil {
+			if c := b.Pick(all, spec); c != nil {
 				chosen[c.Endpoint.ID]++
 				c.ResponseStarted()
 				c.End(balance.Succeeded, nil)
@@ -74,58 +74,58 @@
 	}
 
 	It("receive no calls while others are warm, and are used once warm", func() {
-		first := b.Pick(all, need(true))
+		first := b.Pick(all, spec(true))
 		first.ResponseStarted()
 		first.End(balance.Succeeded, nil)
 		home := first.Endpoint.ID
 		cold := slices.IndexFunc(all, func(e fleet.Endpoint) bool { return e.ID == home })
 		setCold(2*time.Second, cold)
-		Expect(picks(390, need(true))).NotTo(HaveKey(home))
-		for _, option := range b.Options(all, need(true), 6) {
+		Expect(picks(390, spec(true))).NotTo(HaveKey(home))
+		for _, option := range b.Options(all, spec(true), 6) {
 			Expect(option.Endpoint.ID).NotTo(Equal(home))
 		}
-		preferring := need(true)
+		preferring := spec(true)
 		preferring.Prefer = home
 		Expect(b.Pick(all, preferring).Endpoint.ID).NotTo(Equal(home))
 		clock.Advance(100 * time.Millisecond)
-		Expect(picks(200, balance.CallSpec{Cold: need(true).Cold})).To(HaveKey(home))
+		Expect(picks(200, balance.CallSpec{Cold: spec(true).Cold})).To(HaveKey(home))
 	})
 
 	It("follow changes of their entries", func() {
 		setCold(time.Minute, 0, 1, 2, 3, 4)
-		Expect(picks(50, need(false))).To(HaveKey("e5"))
+		Expect(picks(50, spec(false))).To(HaveKey("e5"))
 		setCold(0, 0, 1, 2, 3, 4)
 		setCold(time.Minute, 5)
-		Expect(picks(50, need(false))).NotTo(HaveKey("e5"))
+		Expect(picks(50, spec(false))).NotTo(HaveKey("e5"))
 	})
 
 	It("become cold when an entry with a new revision repeats the same duration", func() {
 		setCold(time.Second, 0)
-		Expect(picks(10, balance.CallSpec{Cold: need(false).Cold})).NotTo(HaveKey("e0"))
+		Expect(picks(10, balance.CallSpec{Cold: spec(false).Cold})).NotTo(HaveKey("e0"))
 		clock.Advance(2 * time.Second)
-		Expect(picks(100, balance.CallSpec{Cold: need(false).Cold})).To(HaveKey("e0"))
+		Expect(picks(100, balance.CallSpec{Cold: spec(false).Cold})).To(HaveKey("e0"))
 		setCold(time.Second, 0)
-		Expect(picks(100, balance.CallSpec{Cold: need(false).Cold})).NotTo(HaveKey("e0"))
+		Expect(picks(100, balance.CallSpec{Cold: spec(false).Cold})).NotTo(HaveKey("e0"))
 	})
 
 	It("include those of a returned failure domain before their entries report it", func() {
 		for n := range 3 {
 			all[n].Returned = 9
 		}
-		chosen := picks(400, balance.CallSpec{Cold: need(true).Cold})
+		chosen := picks(400, balance.CallSpec{Cold: spec(true).Cold})
 		Expect(chosen).NotTo(Or(HaveKey("e0"), HaveKey("e1"), HaveKey("e2")))
 		clock.Advance(time.Second)
-		Expect(picks(200, balance.CallSpec{Cold: need(true).Cold})).To(HaveLen(6))
+		Expect(picks(200, balance.CallSpec{Cold: spec(true).Cold})).To(HaveLen(6))
 	})
 
 	It("receive no calls from instances other than their warm-up owner", func() {
 		setCold(time.Minute, 0, 1, 2, 3, 4, 5)
-		Expect(picks(100, need(false))).To(BeEmpty())
+		Expect(picks(100, spec(false))).To(BeEmpty())
 	})
 
 	It("receive calls at a limited rate from their warm-up owner when all are cold", func() {
 		setCold(time.Minute, 0, 1, 2, 3, 4, 5)
-		for _, n := range picks(1000, need(true)) {
+		for _, n := range picks(1000, spec(true)) {
 			Expect(n).To(BeNumerically("<=", 21), "4/s for 5 s, plus one")
 		}
 	})
--- a/pkg/balance/isolated_test.go
+++ b/pkg/balance/isolated_test.go
@@ -62,15 +62,15 @@
 	})
 
 	It("avoid excluded endpoints and use an ejected one only as a last resort", func() {
-		need := suspect("one")
-		first := b.Pick(all, need)
+		spec := suspect("one")
+		first := b.Pick(all, spec)
 		first.End(balance.Unreachable, nil)
-		second := b.Pick(all, need)
+		second := b.Pick(all, spec)
 		Expect(second.Endpoint.ID).NotTo(Equal(first.Endpoint.ID))
-		need.Exclude = map[string]bool{}
+		spec.Exclude = map[string]bool{}
 		for _, e := range all {
-			need.Exclude[e.ID] = e.ID != first.Endpoint.ID
+			spec.Exclude[e.ID] = e.ID != first.Endpoint.ID
 		}
-		Expect(b.Pick(all, need).Endpoint.ID).To(Equal(first.Endpoint.ID))
+		Expect(b.Pick(all, spec).Endpoint.ID).To(Equal(first.Endpoint.ID))
 	})
 })
--- a/pkg/balance/slowness_test.go
+++ b/pkg/balance/slowness_test.go
@@ -22,15 +22,15 @@
 		clock = clockwork.NewFakeClock()
 		b = balance.New(clock, noBackoffs(clock))
 		all = []fleet.Endpoint{{ID: "slow", Slots: 4}, {ID: "usual", Slots: 4}}
-		tell := func(at int, slowness float64) {
+		report := func(at int, slowness float64) {
 			c := b.Pick(all[at:at+1], balance.CallSpec{})
 			clock.Advance(20 * time.Millisecond)
 			c.ResponseStarted()
 			c.RecordLoad(&balance.Load{Running: 1, Slots: 4, Slowness: slowness})
 			c.End(balance.Succeeded, nil)
 		}
-		tell(1, 1)
-		tell(0, 4)
+		report(1, 1)
+		report(0, 4)
 	})
 
 	picks := func(n int) int {
--- a/pkg/notice/backoffs_test.go
+++ b/pkg/notice/backoffs_test.go
@@ -79,7 +79,7 @@
 		Expect(backoffs.MinRemaining(nil)).To(BeZero())
 		backoffs.Start("a", 3*time.Second)
 		backoffs.Start("b", 2*time.Second)
-		Expect(backoffs.MinRemaining(endpoints)).To(BeZero(), "one wants none")
+		Expect(backoffs.MinRemaining(endpoints)).To(BeZero(), "one endpoint is available")
 		backoffs.Start("c", 4*time.Second)
 		Expect(backoffs.MinRemaining(endpoints)).To(Equal(2 * time.Second))
 	})
@@ -87,15 +87,15 @@
 	It("distribute callers over the ends close to the first", func() {
 		backoffs.Start("a", 2*time.Second)
 		backoffs.Start("b", 2*time.Second+400*time.Millisecond)
-		Expect(backoffs.RetryAfter(endpoints, time.Second)).To(BeZero(), "one wants none")
+		Expect(backoffs.RetryAfter(endpoints, time.Second)).To(BeZero(), "one endpoint is available")
 		backoffs.Start("c", time.Minute)
-		told := map[time.Duration]int{}
+		seen := map[time.Duration]int{}
 		for range 200 {
-			told[backoffs.RetryAfter(endpoints, time.Second)]++
+			seen[backoffs.RetryAfter(endpoints, time.Second)]++
 		}
-		Expect(told).To(HaveLen(2))
-		Expect(told[2*time.Second]).To(BeNumerically(">", 50))
-		Expect(told[2400*time.Millisecond]).To(BeNumerically(">", 50))
+		Expect(seen).To(HaveLen(2))
+		Expect(seen[2*time.Second]).To(BeNumerically(">", 50))
+		Expect(seen[2400*time.Millisecond]).To(BeNumerically(">", 50))
 		Expect(backoffs.List()).To(HaveLen(3))
 	})
 
--- a/pkg/ratelimit/splitter_test.go
+++ b/pkg/ratelimit/splitter_test.go
@@ -12,9 +12,9 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/ratelimit"
 )
 
-func TestLimits(t *testing.T) {
+func TestRatelimit(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "limits")
+	RunSpecs(t, "ratelimit")
 }
 
 // fleet simulates instances of one failure domain that exchange their demands once per second.
--- a/pkg/scheduling/replay_test.go
+++ b/pkg/scheduling/replay_test.go
@@ -183,8 +183,8 @@
 	}
 	begin := func() {
 		took := time.Duration(q.WorkMs[q.pipeline.Stages[k].Name] * e.slow * float64(time.Millisecond))
-		broken := min(took, max(0, q.deadline.Sub(r.now)))
-		r.at(r.now.Add(broken), func() { r.finish(q, k, v.Grant, e, broken, broken < took) })
+		aborted := min(took, max(0, q.deadline.Sub(r.now)))
+		r.at(r.now.Add(aborted), func() { r.finish(q, k, v.Grant, e, aborted, aborted < took) })
 	}
 	if e.running < e.slots {
 		e.running++
@@ -194,7 +194,7 @@
 	e.waiting = append(e.waiting, begin)
 }
 
-func (r *replay) finish(q *fakeRequest, k int, g *scheduling.Grant, e *fakeEndpoint, took time.Duration, broken bool) {
+func (r *replay) finish(q *fakeRequest, k int, g *scheduling.Grant, e *fakeEndpoint, took time.Duration, aborted bool) {
 	r.spent[q] += took
 	e.running--
 	if len(e.waiting) > 0 {
@@ -204,11 +204,11 @@
 		next()
 	}
 	result := scheduling.Success
-	if broken {
+	if aborted {
 		result = scheduling.Abandoned
 	}
 	q.instance.pools[q.pipeline.Stages[k].Service].Finish(r.now, g, result, &scheduling.Report{Running: e.running, Waiting: len(e.waiting)})
-	if broken {
+	if aborted {
 		q.admission.Close()
 		return
 	}
--- a/pkg/scheduling/suite_test.go
+++ b/pkg/scheduling/suite_test.go
@@ -12,7 +12,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/scheduling"
 )
 
-func TestDecision(t *testing.T) {
+func TestScheduling(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "scheduling")
 }
--- a/pkg/throttle/limiter_test.go
+++ b/pkg/throttle/limiter_test.go
@@ -15,16 +15,16 @@
 
 // fakePeers are peers that all give the same answer.
 type fakePeers struct {
-	live   []throttle.Peer
-	leaves bool
-	answer throttle.PermitGrant
-	err    error
-	asked  []throttle.PermitRequest
-	to     []throttle.Peer
+	live    []throttle.Peer
+	leaving bool
+	answer  throttle.PermitGrant
+	err     error
+	asked   []throttle.PermitRequest
+	to      []throttle.Peer
 }
 
 func (o *fakePeers) Self() throttle.Peer      { return throttle.Peer{Name: "self", FailureDomain: "far"} }
-func (o *fakePeers) SelfLeaving() bool        { return o.leaves }
+func (o *fakePeers) SelfLeaving() bool        { return o.leaving }
 func (o *fakePeers) Live() []throttle.Peer    { return o.live }
 func (o *fakePeers) Leaving() []throttle.Peer { return nil }
 func (o *fakePeers) RequestPermits(_ context.Context, to throttle.Peer, ask throttle.PermitRequest) (throttle.PermitGrant, error) {
@@ -156,7 +156,7 @@
 
 	It("are permitted by a leaving instance only if there is no other", func() {
 		ask := throttle.PermitRequest{EndpointID: "e", Wanted: 1, PerSecond: 8, AgeMs: 100}
-		peers.leaves, peers.live = true, near[2:]
+		peers.leaving, peers.live = true, near[2:]
 		limiter.UpdateMembers()
 		clock.Advance(time.Minute)
 		Expect(limiter.HandleRequest(ask).Granted).To(BeZero())
--- a/pkg/throttle/model_test.go
+++ b/pkg/throttle/model_test.go
@@ -37,8 +37,8 @@
 	// demand is the request rate offered to each instance, per second.
 	demand float64
 	// limit is the reported limit in requests per second; negative for none.
-	limit float64
-	named time.Time
+	limit           float64
+	limitReportedAt time.Time
 	// pending holds permit requests in transit.
 	pending  []pendingRequest
 	arrivals []time.Time
@@ -58,11 +58,11 @@
 	side    int
 	dead    bool
 	// leaves reports that the instance announced its departure. It still sends requests.
-	leaves bool
+	leaving bool
 	// excused is until when requests are not counted after a restart.
 	excused time.Time
 	// heard is when a heartbeat of each other instance last arrived.
-	heard map[string]time.Time
+	lastHeard map[string]time.Time
 }
 
 func newModel(seed uint64, n, domains int, limit, demand float64) *model {
@@ -78,7 +78,7 @@
 // restart replaces an instance by a new incarnation without state.
 func (m *model) restart(i int) {
 	instance := m.instances[i]
-	instance.heard, instance.dead, instance.leaves = map[string]time.Time{}, false, false
+	instance.lastHeard, instance.dead, instance.leaving = map[string]time.Time{}, false, false
 	instance.Incarnation++
 	instance.excused = m.clock.Now().Add(grace)
 	instance.table = throttle.NewTable(m.clock, logging.Discard().For("throttle"))
@@ -93,7 +93,7 @@
 func (i *modelInstance) Self() throttle.Peer { return i.Peer }
 
 // SelfLeaving implements throttle.Peers.
-func (i *modelInstance) SelfLeaving() bool { return i.leaves }
+func (i *modelInstance) SelfLeaving() bool { return i.leaving }
 
 // Live implements throttle.Peers.
 func (i *modelInstance) Live() []throttle.Peer {
@@ -107,7 +107,7 @@
 func (i *modelInstance) visible(leaving bool) []throttle.Peer {
 	var visible []throttle.Peer
 	for _, other := range i.model.instances {
-		if at, heard := i.heard[other.Name]; heard && i.model.clock.Since(at) < suspectAfter && other.leaves == leaving {
+		if at, heard := i.lastHeard[other.Name]; heard && i.model.clock.Since(at) < suspectAfter && other.leaving == leaving {
 			visible = append(visible, other.Peer)
 		}
 	}
@@ -180,7 +180,7 @@
 	limits := i.table.Gossip(8)
 	for _, other := range m.instances {
 		if other != i && !other.dead && other.side == i.side && m.random.Float64() > 0.02 {
-			other.heard[i.Name] = m.clock.Now()
+			other.lastHeard[i.Name] = m.clock.Now()
 			other.table.Merge(limits)
 		}
 	}
@@ -198,8 +198,8 @@
 		i.table.Clear("e")
 		return
 	}
-	if m.named.IsZero() {
-		m.named = m.clock.Now()
+	if m.limitReportedAt.IsZero() {
+		m.limitReportedAt = m.clock.Now()
 	}
 	i.table.Set("e", m.limit)
 }
@@ -208,10 +208,10 @@
 func (m *model) peak() int {
 	peak, first := 0, 0
 	for n, at := range m.arrivals {
-		for m.arrivals[first].Before(m.named.Add(grace)) && first < n || at.Sub(m.arrivals[first]) > window {
+		for m.arrivals[first].Before(m.limitReportedAt.Add(grace)) && first < n || at.Sub(m.arrivals[first]) > window {
 			first++
 		}
-		if !at.Before(m.named.Add(grace)) {
+		if !at.Before(m.limitReportedAt.Add(grace)) {
 			peak = max(peak, n-first+1)
 		}
 	}
@@ -301,7 +301,7 @@
 		m := settled(n, limit, seed)
 		m.run(2 * time.Second)
 		for leaver := range min(n, 6) {
-			m.instances[leaver].leaves = true
+			m.instances[leaver].leaving = true
 			m.run(5 * time.Second)
 			m.instances[leaver].dead = true
 			m.run(2 * time.Second)
--- a/pkg/throttle/table_test.go
+++ b/pkg/throttle/table_test.go
@@ -59,12 +59,12 @@
 		table.Set("a", 2)
 		for range 50 {
 			// The time in transit is unknown to the receiver.
-			told := table.Gossip(8)
+			sent := table.Gossip(8)
 			clock.Advance(200 * time.Millisecond)
-			other.Merge(told)
-			told = other.Gossip(8)
+			other.Merge(sent)
+			sent = other.Gossip(8)
 			clock.Advance(200 * time.Millisecond)
-			table.Merge(told)
+			table.Merge(sent)
 		}
 		Expect(table.Gossip(8)[0].Age).To(BeNumerically(">=", 20*time.Second))
 	})
@@ -73,13 +73,13 @@
 		for _, id := range []string{"a", "b", "c", "d", "e"} {
 			table.Set(id, 1)
 		}
-		told := map[string]bool{}
+		sent := map[string]bool{}
 		for range 3 {
 			for _, l := range table.Gossip(2) {
-				told[l.EndpointID] = true
+				sent[l.EndpointID] = true
 			}
 		}
-		Expect(told).To(HaveLen(5))
+		Expect(sent).To(HaveLen(5))
 	})
 
 	It("removes limits of removed endpoints and cleared limits after a delay", func() {
