--- a/pkg/throttle/model_test.go
+++ b/pkg/throttle/model_test.go
@@ -57,11 +57,11 @@
 	limiter *throttle.Limiter
 	side    int
 	dead    bool
-	// leaves reports that the instance announced its departure. It still sends requests.
+	// leaving reports that the instance announced its departure. It still sends requests.
 	leaving bool
 	// excused is until when requests are not counted after a restart.
 	excused time.Time
-	// heard is when a heartbeat of each other instance last arrived.
+	// lastHeard is when a heartbeat of each other instance last arrived.
 	lastHeard map[string]time.Time
 }
 
