--- a/pkg/scheduling/replay_test.go
+++ b/pkg/scheduling/replay_test.go
@@ -183,8 +183,8 @@
 	}
 	begin := func() {
 		took := time.Duration(q.WorkMs[q.pipeline.Stages[k].Name] * e.slow * float64(time.Millisecond))
-		aborted := min(took, max(0, q.deadline.Sub(r.now)))
-		r.at(r.now.Add(aborted), func() { r.finish(q, k, v.Grant, e, aborted, aborted < took) })
+		elapsed := min(took, max(0, q.deadline.Sub(r.now)))
+		r.at(r.now.Add(elapsed), func() { r.finish(q, k, v.Grant, e, elapsed, elapsed < took) })
 	}
 	if e.running < e.slots {
 		e.running++
