--- a/pkg/batch/batch.go
+++ b/pkg/batch/batch.go
@@ -1,6 +1,5 @@
-// Package batch makes the pieces of requests' stages. Endpoints take pieces in calls of
-// many, and a call is dear, so pieces of all requests wait together and leave in one
-// call when an endpoint is free.
+// Package batch schedules the pieces of request stages on endpoints. It queues the pieces of all
+// requests and sends them in batches, because each call to an endpoint has a high fixed cost.
 package batch
 
 import (
@@ -12,168 +11,172 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/route"
 )
 
-// Piece is one part of a request's stage.
+// Piece is one unit of work in a stage of a request.
 type Piece struct {
-	// Request is the id of the request, Stage its stage, Index the piece in it.
+	// Request is the request ID, Stage the index of the stage, and Index the index of the piece
+	// within the stage.
 	Request string `json:"request"`
 	Stage   int    `json:"stage"`
 	Index   int    `json:"index"`
-	// Key is what a piece of a first stage is made of; Inputs are the handles that
-	// a piece of a later one reads.
+	// Key identifies the input of a piece in a first stage. Inputs are the handles of the results
+	// that a piece in a later stage reads.
 	Key    string   `json:"key,omitempty"`
 	Inputs []string `json:"inputs,omitempty"`
-	// InputBytes is the approximate size of all inputs.
+	// InputBytes is the approximate total size of the inputs.
 	InputBytes int64 `json:"input_bytes,omitempty"`
-	// InputsUntil is when the first of the inputs goes; the zero time if it has none.
+	// InputsUntil is the earliest expiry of an input; zero if the piece has no inputs.
 	InputsUntil time.Time `json:"-"`
 	// Bytes is the approximate size of the result.
 	Bytes int64 `json:"bytes"`
-	// Due is when it has to be made for the request to be in time; Deadline is when
-	// the request is given up.
+	// Due is when the piece must be completed for the request to meet its objective. Deadline is
+	// when the request is abandoned.
 	Due      time.Time `json:"-"`
 	Deadline time.Time `json:"-"`
-	// Priority is the request's rank; 0 is the highest.
+	// Priority is the priority of the request; 0 is the highest.
 	Priority int `json:"priority"`
-	// Domain is the failure domain where the piece is best made; empty: any.
+	// Domain is the preferred failure domain; empty means any.
 	Domain string `json:"domain,omitempty"`
-	// Within are the failure domains where it may be made; none: any.
+	// Within lists the failure domains in which the piece may run; empty means any.
 	Within []string `json:"within,omitempty"`
 }
 
-// mayBeMadeIn tells whether the piece may be made in a failure domain.
-func (p *Piece) mayBeMadeIn(domain string) bool {
+// allowedIn reports whether the piece may run in a failure domain.
+func (p *Piece) allowedIn(domain string) bool {
 	return len(p.Within) == 0 || slices.Contains(p.Within, domain)
 }
 
-// movedBytes is what has to be moved to or from an endpoint in another failure domain.
-func (p *Piece) movedBytes() int64 {
+// transferBytes returns how many bytes cross failure domains if the piece runs outside its
+// preferred one.
+func (p *Piece) transferBytes() int64 {
 	if len(p.Inputs) > 0 {
 		return p.InputBytes
 	}
 	return p.Bytes
 }
 
-// Result is what came of a piece: a handle, or a reason why there is none.
+// Result is the outcome of a piece: a handle, or the reason why there is none.
 type Result struct {
 	Handle string `json:"handle,omitempty"`
-	// Endpoint and Domain are the maker's.
+	// Endpoint and Domain identify the endpoint that holds the result.
 	Endpoint string `json:"endpoint,omitempty"`
 	Domain   string `json:"domain,omitempty"`
 	Reason   Reason `json:"reason,omitempty"`
-	// Bytes is the approximate size.
+	// Bytes is the approximate size of the result.
 	Bytes int64 `json:"bytes,omitempty"`
-	// Queue is where the piece waited.
+	// Queue is the queue in which the piece waited.
 	Queue Queue `json:"queue"`
-	// Until is when the maker gives it up by itself; LeftMs is the same as the time left in
-	// milliseconds, for the way between instances.
+	// Until is when the endpoint discards the result. LeftMs is the time until then in
+	// milliseconds, used between instances because their clocks differ.
 	Until  time.Time `json:"-"`
 	LeftMs int64     `json:"left_ms,omitempty"`
 }
 
-// Queue names where pieces wait: at a service, or at one of the equal parts into which its
-// endpoints are cut.
+// Queue identifies a queue of pieces: a service, or one partition of its endpoints.
 type Queue struct {
 	Service string `json:"service"`
-	// Part is which of Parts parts; both are 0 or 1 for the whole service.
+	// Part is the index of the partition and Parts the number of partitions. Parts is 0 or 1 if the
+	// service is not partitioned.
 	Part  int `json:"part,omitempty"`
 	Parts int `json:"parts,omitempty"`
 }
 
-// Capacity is what the endpoints of a queue can do.
+// Capacity describes the throughput and memory of the endpoints of a queue.
 type Capacity struct {
-	// PerSecond is how many pieces they make in full calls, AtOnce how many are in
-	// calls when all work on full ones.
+	// PerSecond is the throughput in pieces with full batches. AtOnce is the number of pieces in
+	// flight when every slot has a full batch.
 	PerSecond float64
 	AtOnce    int
-	// Others is how many pieces could be made in the time that calls of another planner still
-	// take.
+	// Others is the number of pieces that the endpoints could process in the time taken up by calls
+	// of other planners.
 	Others float64
-	// Call is the time that a call takes that is made now.
+	// Call is the expected duration of a call that is sent now.
 	Call time.Duration
-	// Rest is how long it takes until the first endpoint wants calls, where all want rest; 0: one does.
+	// Rest is the time until the first endpoint accepts calls if all requested a back-off;
+	// otherwise 0.
 	Rest time.Duration
-	// RoomBytes is an endpoint's memory for results, and Size the pieces of a full call.
+	// RoomBytes is the result memory of one endpoint. Size is the number of pieces in a full batch.
 	RoomBytes int64
 	Size      int
 }
 
-// scarceCalls is how many full calls' results an endpoint has room for where room is not
-// scarce: those of the call at work, and those that wait to be read.
-const scarceCalls = 3
+// scarceMemoryBatches is the number of full batches of results below which an endpoint's memory
+// counts as scarce: the running call and the results that wait to be read.
+const scarceMemoryBatches = 3
 
-// Scarce tells whether room is scarce for results of a size.
+// Scarce reports whether memory is scarce for results of the given size.
 func (c Capacity) Scarce(bytes int64) bool {
-	return c.RoomBytes < scarceCalls*int64(c.Size)*bytes
+	return c.RoomBytes < scarceMemoryBatches*int64(c.Size)*bytes
 }
 
-// Reason says why a piece was not made.
+// Reason is why a piece was not completed.
 type Reason string
 
 // The reasons.
 const (
-	// Late: its deadline has passed, or it could not be made before it.
+	// Late means that the deadline has passed or could not be met.
 	Late Reason = "late"
-	// Gone: a result that it reads is gone.
+	// Gone means that an input no longer exists.
 	Gone Reason = "gone"
-	// NoRoom: the endpoint has no room for the result.
+	// NoRoom means that the endpoint had no memory for the result.
 	NoRoom Reason = "no_room"
-	// Failed: the endpoint failed.
+	// Failed means that the endpoint failed.
 	Failed Reason = "failed"
-	// Exhausted: it failed, and may not be tried again.
+	// Exhausted means that the piece failed and has no retries left.
 	Exhausted Reason = "exhausted"
-	// Moved: another instance plans the part now; what was not made is to be made there.
+	// Moved means that another instance now plans the partition; the remaining pieces are to be
+	// processed there.
 	Moved Reason = "moved"
-	// Stopped: the instance that was to have it made stopped.
+	// Stopped means that the instance that planned the piece has stopped.
 	Stopped Reason = "stopped"
 )
 
-// CallOutcome is what came of a call that did not give results.
+// CallOutcome is the outcome of a call.
 type CallOutcome int
 
 // The outcomes of a call.
 const (
-	// Made: the results tell of each piece.
+	// Made means that the call returned a result for each piece.
 	Made CallOutcome = iota
-	// NotSent: the endpoint was not reached.
+	// NotSent means that the endpoint could not be reached.
 	NotSent
-	// NotRun: the endpoint said that it did not take the call.
+	// NotRun means that the endpoint rejected the call.
 	NotRun
-	// Wrong: another endpoint has the address.
+	// Wrong means that the address belongs to a different endpoint.
 	Wrong
-	// Lost: the call may be at work, and nothing will come of it.
+	// Lost means that the call may have run but its response was lost.
 	Lost
-	// Barred: nothing was sent, since the endpoint may not be called now.
+	// Barred means that the call was not sent because the endpoint must not be called at present.
 	Barred
 )
 
 // Caller calls endpoints.
 type Caller interface {
-	// Run makes a call. Results are in the order of the pieces if the outcome is Made.
+	// Run executes a call. If the outcome is Made, the results are in the order of the pieces.
 	Run(ctx context.Context, endpoint fleet.Endpoint, pieces []Piece) ([]Result, CallOutcome)
-	// Report asks an endpoint what it does.
+	// Report asks an endpoint for its current load.
 	Report(ctx context.Context, endpoint fleet.Endpoint) (Report, error)
-	// Reach tells whether an endpoint can be reached; it asks nothing of it.
+	// Reach checks that an endpoint accepts connections.
 	Reach(ctx context.Context, endpoint fleet.Endpoint) error
-	// Free gives results up at their maker.
+	// Free discards results at the endpoint that holds them.
 	Free(ctx context.Context, endpoint fleet.Endpoint, handles []string) error
 }
 
-// Budget bounds how many pieces are made again, as a part of those that are asked for.
+// Budget limits retries to a fraction of the submitted pieces.
 type Budget interface {
-	// Count counts n pieces that are asked for.
+	// Count records n submitted pieces.
 	Count(service string, n int)
-	// Take counts n repeats in if they are within the bounds, and tells whether they are.
+	// Take reserves n retries and reports whether the budget allows them.
 	Take(service string, n int) bool
 }
 
-// Known is what the batcher needs to know of services and endpoints.
+// Known provides the configuration and state of services and endpoints.
 type Known interface {
-	// Batching returns how a service takes pieces, or nil.
+	// Batching returns the batching parameters of a service, or nil.
 	Batching(service string) *route.Batching
-	// Ready returns the endpoints of a service that may get new work.
+	// Ready returns the endpoints of a service that accept new work.
 	Ready(service string) []fleet.Endpoint
 	// Endpoint returns an endpoint by ID.
 	Endpoint(id string) (fleet.Endpoint, bool)
-	// Rest is how much longer an endpoint wants nothing from this machine; 0: it wants no rest.
+	// Rest returns the remaining back-off that an endpoint requested from this process; 0 if none.
 	Rest(id string) time.Duration
 }
--- a/pkg/batch/batcher.go
+++ b/pkg/batch/batcher.go
@@ -16,101 +16,99 @@
 )
 
 const (
-	// maxTries bounds the calls that one piece is in.
-	maxTries = 4
-	// overdueFactor and overdueSlack say when a call under way is given up: it has
-	// taken overdueFactor times its expected time and overdueSlack more. At endpoints that
-	// others call too it may have waited for theirs.
-	overdueFactor       = 1.6
-	overdueSlack        = 150 * time.Millisecond
-	sharedOverdueFactor = 2
-	sharedOverdueSlack  = 400 * time.Millisecond
-	freeTimeout         = 500 * time.Millisecond
-	// fetchTime is how long after a call was sent its endpoint has fetched the inputs,
-	// if it had no other call.
-	fetchTime = 80 * time.Millisecond
-	// byteCost is the time that a byte is worth which is read in another failure domain
-	// than the one where it was made.
-	byteCost = 500 * time.Nanosecond
-	// smallCall is the part of a full call, or of what waits, below which a call for
-	// which there is too little room waits up to roomWait for more.
-	smallCall = 0.5
-	roomWait  = 150 * time.Millisecond
+	// maxAttempts bounds the calls that may include the same piece.
+	maxAttempts = 4
+	// A call times out after callTimeoutFactor times its expected duration plus callTimeoutSlack.
+	// The shared variants apply to endpoints at which calls of other planners may be queued first.
+	callTimeoutFactor       = 1.6
+	callTimeoutSlack        = 150 * time.Millisecond
+	sharedCallTimeoutFactor = 2
+	sharedCallTimeoutSlack  = 400 * time.Millisecond
+	freeTimeout             = 500 * time.Millisecond
+	// inputFetchTime is the time within which an otherwise idle endpoint fetches the inputs of a
+	// call.
+	inputFetchTime = 80 * time.Millisecond
+	// transferCostPerByte is the delay accepted to avoid transferring one byte between failure
+	// domains.
+	transferCostPerByte = 500 * time.Nanosecond
+	// smallBatchRatio is the fraction of a full batch, or of the queue, below which a batch limited
+	// by memory waits up to memoryWait for more memory.
+	smallBatchRatio = 0.5
+	memoryWait      = 150 * time.Millisecond
 )
 
-// Batcher makes the pieces of all services here. Safe for concurrent use.
+// Batcher schedules the pieces of all services. It is safe for concurrent use.
 type Batcher struct {
-	caller Caller
-	known  Known
-	budget Budget
-	clock  clockwork.Clock
-	log    *logrus.Entry
-	// regions has the region of each failure domain.
+	caller   Caller
+	registry Known
+	budget   Budget
+	clock    clockwork.Clock
+	log      *logrus.Entry
+	// regions maps failure domains to regions.
 	regions ownership.Regions
 
-	calls  *metrics.Counter
-	pieces *metrics.Counter
-	again  *metrics.Counter
-	wasted *metrics.Counter
+	calls   *metrics.Counter
+	pieces  *metrics.Counter
+	retried *metrics.Counter
+	unused  *metrics.Counter
 
 	mu       sync.Mutex
 	services map[Queue]*service
-	// freeing has the results to be freed, by maker.
-	freeing map[string][]Result
+	// pendingFrees holds the results to be freed, by endpoint ID.
+	pendingFrees map[string][]Result
 }
 
-// service is the state of one service's pieces.
+// service is the scheduling state of one queue.
 type service struct {
-	at      Queue
+	key     Queue
 	regions ownership.Regions
 	queue   queue
 	workers map[string]*worker
-	// current are the workers of the part's endpoints.
-	current current
-	// typical is the smoothed number of pieces in a call.
-	typical float64
-	// released says that another instance plans here now: no call begins.
+	active  activeWorkers
+	// meanBatchSize is the moving average of the number of pieces in a call.
+	meanBatchSize float64
+	// released is set while another instance plans the partition; no calls are sent.
 	released bool
-	// lookedAt is when something was last sent to or asked of the endpoints; inspection is
-	// closed when those under way have been asked, nil if none is.
-	lookedAt   time.Time
+	// checkedAt is when the endpoints were last called or inspected. inspection is closed when the
+	// current inspection ends; nil if there is none.
+	checkedAt  time.Time
 	inspection chan struct{}
 }
 
-// typicalWeight is the weight of a new call in the typical number of pieces.
-const typicalWeight = 0.1
+// batchSizeWeight is the weight of a new call in meanBatchSize.
+const batchSizeWeight = 0.1
 
-// New returns a batcher without work. Counters are made in set.
+// New returns an idle batcher. It registers its counters in set.
 func New(caller Caller, known Known, budget Budget, clock clockwork.Clock, set *metrics.Set, log *logrus.Entry) *Batcher {
 	return &Batcher{
-		caller:   caller,
-		known:    known,
-		budget:   budget,
-		clock:    clock,
-		log:      log,
-		calls:    set.NewCounter("cobaltcroft_stage_calls_total"),
-		pieces:   set.NewCounter("cobaltcroft_stage_pieces_total"),
-		again:    set.NewCounter("cobaltcroft_stage_pieces_again_total"),
-		wasted:   set.NewCounter("cobaltcroft_stage_results_unused_total"),
-		services: map[Queue]*service{},
-		freeing:  map[string][]Result{},
+		caller:       caller,
+		registry:     known,
+		budget:       budget,
+		clock:        clock,
+		log:          log,
+		calls:        set.NewCounter("cobaltcroft_stage_calls_total"),
+		pieces:       set.NewCounter("cobaltcroft_stage_pieces_total"),
+		retried:      set.NewCounter("cobaltcroft_stage_pieces_again_total"),
+		unused:       set.NewCounter("cobaltcroft_stage_results_unused_total"),
+		services:     map[Queue]*service{},
+		pendingFrees: map[string][]Result{},
 	}
 }
 
-// ByRegion has parts cut by region where their number says so. It is called before any work comes.
+// ByRegion enables partitioning by region. It must be called before any work is submitted.
 func (b *Batcher) ByRegion(regions ownership.Regions) { b.regions = regions }
 
-// Make has pieces of one service made, and returns their results in the same order
-// when all are settled. If ctx ends before, pieces that wait are dropped, and results
-// that come after are freed. If read is not nil, it is called, once at most, when the
-// endpoints have fetched the inputs of all pieces; none is made again after that.
-func (b *Batcher) Make(ctx context.Context, at Queue, pieces []Piece, read func()) []Result {
-	g := newGroup(len(pieces), read)
+// Make processes pieces of one queue and returns their results in the same order. If ctx ends
+// first, queued pieces are dropped and later results are freed. If onRead is not nil, it is called
+// at most once, when the endpoints have fetched the inputs of all pieces; no piece is retried after
+// that.
+func (b *Batcher) Make(ctx context.Context, at Queue, pieces []Piece, onRead func()) []Result {
+	g := newGroup(len(pieces), onRead)
 	b.budget.Count(at.Service, len(pieces))
 	b.mu.Lock()
 	s := b.service(at)
 	for slot, piece := range pieces {
-		s.queue.add(&item{piece: piece, group: g, slot: slot})
+		s.queue.add(&item{piece: piece, group: g, index: slot})
 	}
 	b.dispatch(s)
 	b.mu.Unlock()
@@ -122,7 +120,7 @@
 	}
 }
 
-// abandon gives a group up, frees its results and returns none.
+// abandon gives up a group, frees its results and returns results without handles.
 func (b *Batcher) abandon(g *group) []Result {
 	b.mu.Lock()
 	g.abandoned = true
@@ -134,42 +132,42 @@
 			b.Free(made[i : i+1])
 		}
 	}
-	none := make([]Result, len(made))
-	for i := range none {
-		none[i].Reason = Late
+	unmade := make([]Result, len(made))
+	for i := range unmade {
+		unmade[i].Reason = Late
 	}
-	return none
+	return unmade
 }
 
 func (b *Batcher) service(at Queue) *service {
 	s := b.services[at]
 	if s == nil {
-		s = &service{at: at, regions: b.regions, workers: map[string]*worker{}}
+		s = &service{key: at, regions: b.regions, workers: map[string]*worker{}}
 		b.services[at] = s
 	}
 	return s
 }
 
-// Tick frees results, drops what is too late and sends what can be sent: endpoints come,
-// go and end their rests.
+// Tick frees results, drops expired pieces and sends pending calls. It must be called periodically
+// to pick up endpoints that were added, removed or have ended their back-off.
 func (b *Batcher) Tick() {
-	b.flush()
+	b.flushFrees()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
 	for _, s := range b.services {
-		b.prove(s, now)
+		b.probeFailed(s, now)
 		if len(s.queue.items) > 0 {
 			b.dispatch(s)
 		}
 	}
 }
 
-// dispatch sends calls while there are pieces and usable workers.
+// dispatch sends calls while there are queued pieces and available workers.
 func (b *Batcher) dispatch(s *service) {
-	batching := b.known.Batching(s.at.Service)
+	batching := b.registry.Batching(s.key.Service)
 	now := b.clock.Now()
-	s.queue.drop(now)
+	s.queue.dropExpired(now)
 	if s.released {
 		s.queue.settleAll(Moved)
 		return
@@ -177,52 +175,50 @@
 	if batching == nil {
 		return
 	}
-	workers := s.update(b.known.Ready(s.at.Service))
-	b.heed(workers, now)
+	workers := s.refreshWorkers(b.registry.Ready(s.key.Service))
+	b.applyBackoffs(workers, now)
 	s.queue.sort(now, batching.CallTime(1))
-	passed := map[*worker]passing{}
+	skipped := map[*worker]skipReason{}
 	for len(s.queue.items) > 0 {
-		w := s.choose(now, workers, passed, batching)
+		w := s.chooseWorker(now, workers, skipped, batching)
 		if w == nil {
 			return
 		}
-		passed[w] = b.fill(s, w, workers, batching, now)
+		skipped[w] = b.sendBatch(s, w, workers, batching, now)
 	}
 }
 
-// current are the workers that may get work, for as long as the service's endpoints stay the same.
-// Every piece asks for them: at the owner of one of four parts of 42 endpoints, cutting them anew
-// would make a forecast of a stage take 28 us and not 1 us, and a stage 31 us and not 4 us
-// (BenchmarkCapacity, BenchmarkMake).
-type current struct {
-	of      []fleet.Endpoint
-	workers []*worker
-	// stale says that workers are still at work whose endpoints are not known any more.
+// activeWorkers caches the workers that accept work until the endpoints of the service change, so
+// that partitioning is not repeated for every piece.
+type activeWorkers struct {
+	endpoints []fleet.Endpoint
+	workers   []*worker
+	// stale is set while a worker has running calls although its endpoint is no longer known.
 	stale bool
 }
 
-// update returns the workers of the part's endpoints that may get work, of all that are ready, and
-// forgets those of endpoints that are not known any more.
-func (s *service) update(ready []fleet.Endpoint) []*worker {
-	if !s.current.stale && sameSlice(ready, s.current.of) {
-		return s.current.workers
+// refreshWorkers returns the workers of the ready endpoints in the partition and removes idle
+// workers whose endpoints are no longer known.
+func (s *service) refreshWorkers(ready []fleet.Endpoint) []*worker {
+	if !s.active.stale && sameSlice(ready, s.active.endpoints) {
+		return s.active.workers
 	}
-	s.current = current{of: ready, workers: s.workersOf(s.at.endpoints(ready, s.regions))}
+	s.active = activeWorkers{endpoints: ready, workers: s.workersFor(s.key.partEndpoints(ready, s.regions))}
 	for id, w := range s.workers {
-		if slices.Contains(s.current.workers, w) {
+		if slices.Contains(s.active.workers, w) {
 			continue
 		}
 		if w.running > 0 {
-			s.current.stale = true
+			s.active.stale = true
 			continue
 		}
 		delete(s.workers, id)
 	}
-	return s.current.workers
+	return s.active.workers
 }
 
-// workersOf returns the workers of endpoints, new ones where there are none.
-func (s *service) workersOf(endpoints []fleet.Endpoint) []*worker {
+// workersFor returns the workers of endpoints, creating those that do not exist.
+func (s *service) workersFor(endpoints []fleet.Endpoint) []*worker {
 	workers := make([]*worker, 0, len(endpoints))
 	for _, e := range endpoints {
 		w := s.workers[e.ID]
@@ -245,48 +241,47 @@
 			it.group.domain = w.endpoint.FailureDomain
 		}
 		bytes += it.piece.Bytes
-		it.tries++
+		it.attempts++
 		if it.piece.Deadline.After(deadline) {
 			deadline = it.piece.Deadline
 		}
 	}
 	now := b.clock.Now()
-	s.lookedAt = now
+	s.checkedAt = now
 	call := batching.CallTime(len(items))
-	expected := w.expected(now, call)
+	expected := w.expectedTime(now, call)
 	w.running++
 	w.busyUntil = now.Add(expected)
 	w.reserved += bytes
-	b.watchFetch(w, items)
-	s.typical += typicalWeight * (float64(len(items)) - s.typical)
+	b.markInputsFetched(w, items)
+	s.meanBatchSize += batchSizeWeight * (float64(len(items)) - s.meanBatchSize)
 	b.calls.Inc()
 	b.pieces.Add(len(items))
-	limit := now.Add(w.patience(expected))
+	limit := now.Add(w.callTimeout(expected))
 	if deadline.Before(limit) {
 		limit = deadline
 	}
-	go b.run(s, w, items, pieces, bytes, batching, call, limit)
+	go b.runCall(s, w, items, pieces, bytes, batching, call, limit)
 }
 
-// watchFetch notes, some time after a call was sent, that the endpoint has fetched the
-// inputs of its pieces. One that has answered no call yet may be at work for another planner, such as
-// one that has died, and fetches when that is done: of 476 plans in the two seconds after all
-// instances had lost power, 54 found their inputs gone so, and were made again.
-func (b *Batcher) watchFetch(w *worker, items []*item) {
-	if w.fresh || w.shared || w.running > 1 || items[0].group.read == nil {
+// markInputsFetched marks the inputs of a call as fetched after inputFetchTime. It skips workers
+// that may have calls of another planner queued, since those fetch their inputs later and would
+// find them freed.
+func (b *Batcher) markInputsFetched(w *worker, items []*item) {
+	if w.unanswered || w.shared || w.running > 1 || items[0].group.onRead == nil {
 		return
 	}
-	b.clock.AfterFunc(fetchTime, func() {
+	b.clock.AfterFunc(inputFetchTime, func() {
 		var read []func()
 		b.mu.Lock()
 		for _, it := range items {
 			g := it.group
-			if it.fetched || g.read == nil || g.abandoned {
+			if it.fetched || g.onRead == nil || g.abandoned {
 				continue
 			}
 			it.fetched = true
 			if g.unread--; g.unread == 0 {
-				read = append(read, g.read)
+				read = append(read, g.onRead)
 			}
 		}
 		b.mu.Unlock()
@@ -296,8 +291,8 @@
 	})
 }
 
-// run makes one call and deals with what comes of it.
-func (b *Batcher) run(s *service, w *worker, items []*item, pieces []Piece, bytes int64, batching *route.Batching, call time.Duration, limit time.Time) {
+// runCall executes one call and handles its outcome.
+func (b *Batcher) runCall(s *service, w *worker, items []*item, pieces []Piece, bytes int64, batching *route.Batching, call time.Duration, limit time.Time) {
 	begin := b.clock.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), limit.Sub(begin))
 	results, outcome := b.caller.Run(ctx, w.endpoint, pieces)
@@ -306,27 +301,27 @@
 	b.mu.Lock()
 	w.running--
 	w.idleSince = now
-	room := w.room(now, batching)
+	freeBytes := w.freeBytes(now, batching)
 	w.reserved -= bytes
 	waiting := len(s.queue.items)
-	unused := b.settle(s, w, items, results, outcome, batching, now)
+	unused := b.handleResults(s, w, items, results, outcome, batching, now)
 	if outcome == Made {
-		w.learn(now, now.Sub(begin), call)
+		w.recordCallTime(now, now.Sub(begin), call)
 	}
-	if (outcome == NotSent || outcome == Lost) && now.Sub(begin) >= silentAfter {
-		b.suspectDomain(w.endpoint.FailureDomain, now)
+	if (outcome == NotSent || outcome == Lost) && now.Sub(begin) >= minSilentCall {
+		b.probeDomain(w.endpoint.FailureDomain, now)
 	}
 	if outcome == Lost {
-		w.slowness, w.learntAt = max(w.slow(now), float64(now.Sub(begin))/float64(call)), now
+		w.slowness, w.slownessTime = max(w.slownessAt(now), float64(now.Sub(begin))/float64(call)), now
 		w.shared = true
 	}
 	b.dispatch(s)
 	b.mu.Unlock()
 	b.log.WithFields(logrus.Fields{
-		"event": "stage_call", "service": s.at.Service, "endpoint": w.endpoint.ID, "pieces": len(pieces),
+		"event": "stage_call", "service": s.key.Service, "endpoint": w.endpoint.ID, "pieces": len(pieces),
 		"ms": now.Sub(begin).Milliseconds(), "expected_ms": call.Milliseconds(), "outcome": int(outcome),
 		"domain": w.endpoint.FailureDomain, "not_made": countFailed(results), "why_not": firstReason(results),
-		"waiting": waiting, "room": room, "bytes": bytes,
+		"waiting": waiting, "room": freeBytes, "bytes": bytes,
 	}).Info()
 	if len(unused) > 0 {
 		b.Free(unused)
--- a/pkg/batch/bench_test.go
+++ b/pkg/batch/bench_test.go
@@ -15,17 +15,17 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/route"
 )
 
-// BenchmarkCapacity gives the time of one forecast of a stage, and BenchmarkMake that of taking
-// the pieces of one stage in, at the owner of one of four parts of 42 endpoints.
+// BenchmarkCapacity measures one capacity forecast in one of four partitions of 42 endpoints.
 func BenchmarkCapacity(b *testing.B) {
-	batcher, at := quarter()
+	batcher, at := newQuarterBatcher()
 	for b.Loop() {
 		batcher.Capacity(at)
 	}
 }
 
+// BenchmarkMake measures submitting the pieces of one stage in the same setup.
 func BenchmarkMake(b *testing.B) {
-	batcher, at := quarter()
+	batcher, at := newQuarterBatcher()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	due := time.Now().Add(time.Hour)
@@ -38,14 +38,14 @@
 	}
 }
 
-// quarter returns a batcher, and the queue of one of four parts of 42 endpoints in six failure
-// domains, which all are at work.
-func quarter() (*batch.Batcher, batch.Queue) {
-	stand := &endpoints{calls: make(chan *call, 1000), batching: route.Batching{Slots: 1, Size: 14, PerCall: 240 * time.Millisecond, PerPiece: 15 * time.Millisecond, RoomBytes: 17 << 20, Retention: 10 * time.Second}, budget: 1}
+// newQuarterBatcher returns a batcher and the queue of one of four partitions of 42 endpoints in
+// six failure domains.
+func newQuarterBatcher() (*batch.Batcher, batch.Queue) {
+	fake := &fakeEndpoints{calls: make(chan *call, 1000), batching: route.Batching{Slots: 1, Size: 14, PerCall: 240 * time.Millisecond, PerPiece: 15 * time.Millisecond, RoomBytes: 17 << 20, Retention: 10 * time.Second}, budget: 1}
 	for n := range 42 {
-		stand.ready = append(stand.ready, fleet.Endpoint{ID: fmt.Sprintf("mallas-%d", n), Service: "s", FailureDomain: fmt.Sprint("d", n%6)})
+		fake.ready = append(fake.ready, fleet.Endpoint{ID: fmt.Sprintf("mallas-%d", n), Service: "s", FailureDomain: fmt.Sprint("d", n%6)})
 	}
 	clock := clockwork.NewFakeClockAt(time.Now())
-	batcher := batch.New(stand, stand, stand, clock, metrics.NewSet(), logging.Discard().For("batch"))
+	batcher := batch.New(fake, fake, fake, clock, metrics.NewSet(), logging.Discard().For("batch"))
 	return batcher, batch.Queue{Service: "s", Parts: 4}
 }
--- a/pkg/batch/capacity.go
+++ b/pkg/batch/capacity.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// Capacity returns what the endpoints of a queue can do, as they are now.
+// Capacity returns the current capacity of the endpoints of a queue.
 func (b *Batcher) Capacity(at Queue) Capacity {
-	batching := b.known.Batching(at.Service)
+	batching := b.registry.Batching(at.Service)
 	if batching == nil {
 		return Capacity{}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.service(at)
-	workers := s.update(b.known.Ready(at.Service))
+	workers := s.refreshWorkers(b.registry.Ready(at.Service))
 	now := b.clock.Now()
-	b.heed(workers, now)
+	b.applyBackoffs(workers, now)
 	full := batching.CallTime(batching.Size).Seconds()
-	c := Capacity{RoomBytes: batching.RoomBytes, Size: batching.Size, Rest: b.leastRest(workers)}
+	c := Capacity{RoomBytes: batching.RoomBytes, Size: batching.Size, Rest: b.minBackoff(workers)}
 	if c.Rest > 0 {
 		c.Call = batching.CallTime(batching.Size)
 	}
 	slots := 0
 	speed := 0.0
 	for _, w := range workers {
-		if w.out() || now.Before(w.restUntil.Add(-lastFullRest)) {
+		if w.unreachable() || now.Before(w.backoffUntil.Add(-maxFullBackoff)) {
 			continue
 		}
-		perSecond := float64(batching.Size*max(1, batching.Slots)) / (full * w.slow(now))
+		perSecond := float64(batching.Size*max(1, batching.Slots)) / (full * w.slownessAt(now))
 		c.PerSecond += perSecond
-		if w.others.running(now) > 0 {
-			c.Others += perSecond * w.others.until.Sub(now).Seconds()
+		if w.external.running(now) > 0 {
+			c.Others += perSecond * w.external.until.Sub(now).Seconds()
 		}
 		c.AtOnce += batching.Size * max(1, batching.Slots)
 		slots += max(1, batching.Slots)
-		speed += float64(max(1, batching.Slots)) / w.slow(now)
+		speed += float64(max(1, batching.Slots)) / w.slownessAt(now)
 	}
 	if slots > 0 {
-		size := max(int(s.typical+0.5), 1+len(s.queue.items)/slots)
+		size := max(int(s.meanBatchSize+0.5), 1+len(s.queue.items)/slots)
 		call := float64(batching.CallTime(min(batching.Size, size))) * float64(slots) / speed
 		c.Call = time.Duration(call) + time.Duration(call)/time.Duration(2*slots)
 	}
--- a/pkg/batch/dividing.go
+++ b/pkg/batch/dividing.go
@@ -2,13 +2,13 @@
 
 import "github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 
-// Split returns what a ledger tells by the part that each endpoint falls to when they are cut
-// into so many parts. Of an endpoint that gets no new work nothing is told.
+// Split divides a ledger by the partitions that its endpoints belong to when there are the given
+// number of partitions. Endpoints that accept no new work are left out.
 func (b *Batcher) Split(ledger Ledger, parts int) map[int]Ledger {
-	homes := b.homes(parts)
+	queueOf := b.queueLookup(parts)
 	split := map[int]Ledger{}
 	for _, account := range ledger.Endpoints {
-		queue, found := homes(account.Queue.Service, account.Endpoint)
+		queue, found := queueOf(account.Queue.Service, account.Endpoint)
 		if !found {
 			continue
 		}
@@ -20,28 +20,28 @@
 	return split
 }
 
-// Rehome returns results with the queues that their makers fall to when the endpoints are cut
-// into so many parts, so that the owner there hears that their room is free.
+// Rehome returns results with their queues changed to those of a new number of partitions, so that
+// the new owners are notified when the results are freed.
 func (b *Batcher) Rehome(results []Result, parts int) []Result {
-	homes := b.homes(parts)
+	queueOf := b.queueLookup(parts)
 	moved := make([]Result, len(results))
 	for i, r := range results {
 		moved[i] = r
-		if queue, found := homes(r.Queue.Service, r.Endpoint); found {
+		if queue, found := queueOf(r.Queue.Service, r.Endpoint); found {
 			moved[i].Queue = queue
 		}
 	}
 	return moved
 }
 
-// homes returns what finds the queue of an endpoint, where the endpoints are cut into so many
-// parts. Each service is cut when it is first asked for.
-func (b *Batcher) homes(parts int) func(service, endpoint string) (Queue, bool) {
+// queueLookup returns a function that finds the queue of an endpoint for a number of partitions. It
+// partitions each service on first use.
+func (b *Batcher) queueLookup(parts int) func(service, endpoint string) (Queue, bool) {
 	found := map[string]map[string]int{}
 	return func(service, endpoint string) (Queue, bool) {
 		if found[service] == nil {
 			found[service] = map[string]int{}
-			eachPart(b.known.Ready(service), parts, b.regions, func(e fleet.Endpoint, part int) { found[service][e.ID] = part })
+			forEachPart(b.registry.Ready(service), parts, b.regions, func(e fleet.Endpoint, part int) { found[service][e.ID] = part })
 		}
 		part, ok := found[service][endpoint]
 		return Queue{Service: service, Part: part, Parts: parts}, ok
--- a/pkg/batch/export_test.go
+++ b/pkg/batch/export_test.go
@@ -5,15 +5,15 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/ownership"
 )
 
-// PartIDs returns the IDs of the endpoints of a queue's part.
+// PartIDs returns the IDs of the endpoints in a queue's partition.
 func PartIDs(q Queue, ready []fleet.Endpoint) []string {
 	return PartIDsIn(q, ready, ownership.Regions{})
 }
 
-// PartIDsIn returns the IDs of the endpoints of a queue's part, where failure domains stand in regions.
+// PartIDsIn is like PartIDs with failure domains assigned to regions.
 func PartIDsIn(q Queue, ready []fleet.Endpoint, regions ownership.Regions) []string {
 	var ids []string
-	for _, e := range q.endpoints(ready, regions) {
+	for _, e := range q.partEndpoints(ready, regions) {
 		ids = append(ids, e.ID)
 	}
 	return ids
--- a/pkg/batch/freeing.go
+++ b/pkg/batch/freeing.go
@@ -8,31 +8,31 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-// Free gives results up at their makers, those of some time together.
+// Free queues results to be freed at their endpoints on the next Tick.
 func (b *Batcher) Free(results []Result) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range results {
 		if r.Handle != "" {
-			b.freeing[r.Endpoint] = append(b.freeing[r.Endpoint], r)
+			b.pendingFrees[r.Endpoint] = append(b.pendingFrees[r.Endpoint], r)
 		}
 	}
 }
 
-// flush sends the results that are to be freed to their makers. Those of a maker that wants rest wait.
-func (b *Batcher) flush() {
+// flushFrees sends pending frees, except to endpoints that requested a back-off.
+func (b *Batcher) flushFrees() {
 	b.mu.Lock()
-	freeing := b.freeing
-	b.freeing = map[string][]Result{}
+	freeing := b.pendingFrees
+	b.pendingFrees = map[string][]Result{}
 	for id, results := range freeing {
-		if b.known.Rest(id) > 0 {
-			b.freeing[id] = results
+		if b.registry.Rest(id) > 0 {
+			b.pendingFrees[id] = results
 			delete(freeing, id)
 		}
 	}
 	b.mu.Unlock()
 	for id, results := range freeing {
-		if e, ok := b.known.Endpoint(id); ok {
+		if e, ok := b.registry.Endpoint(id); ok {
 			go b.free(e, results)
 		}
 	}
--- a/pkg/batch/inspecting.go
+++ b/pkg/batch/inspecting.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	// inspectAfter is the time without work after which what is known of a queue's endpoints is
-	// old: they may have worked for another planner since.
-	inspectAfter = 2 * time.Second
-	// inspectTimeout bounds how long endpoints are waited for that are asked what they do.
+	// inspectIdleTime is the idle time after which the state of a queue's endpoints is stale,
+	// because another planner may have called them.
+	inspectIdleTime = 2 * time.Second
+	// inspectTimeout bounds one inspection of the endpoints of a queue.
 	inspectTimeout = 150 * time.Millisecond
-	// halfDone is the part of a call that is left, on average, at an endpoint that is at work.
-	halfDone = 0.5
+	// remainingCallShare is the average fraction of a running call that remains.
+	remainingCallShare = 0.5
 )
 
-// Report is what an endpoint tells of itself. It may be some hundred milliseconds old.
+// Report is the load that an endpoint reports. It may be several hundred milliseconds old.
 type Report struct {
-	// Waiting is how many calls wait there; Busy tells whether one is at work.
+	// Waiting is the number of queued calls. Busy is set if a call is running.
 	Waiting int
 	Busy    bool
-	// FreeBytes is how much of its room for results is free at most: some endpoints tell it
-	// roughly, and may have less room altogether.
+	// FreeBytes is an upper bound of the free result memory; some endpoints report only an estimate
+	// that may exceed their total memory.
 	FreeBytes int64
 }
 
-// Inspect asks the endpoints of queues what they do to which this planner has sent nothing for
-// a while: they may be at work for another, or hold results of one that has died. It returns
-// when they have answered or ctx ends.
+// Inspect asks the endpoints of queues that this planner has not called recently for their load,
+// since they may run calls or hold results of another planner. It returns when they have answered
+// or ctx ends.
 func (b *Batcher) Inspect(ctx context.Context, queues []Queue) {
 	var inspections []chan struct{}
 	for _, at := range queues {
-		if inspection := b.beginInspection(at); inspection != nil {
+		if inspection := b.startInspection(at); inspection != nil {
 			inspections = append(inspections, inspection)
 		}
 	}
@@ -50,10 +50,10 @@
 	}
 }
 
-// beginInspection returns what is closed when the endpoints of a queue have been asked; nil if
-// enough is known of them.
-func (b *Batcher) beginInspection(at Queue) chan struct{} {
-	batching := b.known.Batching(at.Service)
+// startInspection returns a channel that is closed when the endpoints of a queue have been
+// inspected; nil if their state is recent enough.
+func (b *Batcher) startInspection(at Queue) chan struct{} {
+	batching := b.registry.Batching(at.Service)
 	if batching == nil {
 		return nil
 	}
@@ -61,35 +61,35 @@
 	defer b.mu.Unlock()
 	s := b.service(at)
 	now := b.clock.Now()
-	if s.inspection == nil && now.Sub(s.lookedAt) > inspectAfter && len(s.queue.items) == 0 {
+	if s.inspection == nil && now.Sub(s.checkedAt) > inspectIdleTime && len(s.queue.items) == 0 {
 		s.inspection = make(chan struct{})
-		go b.inspect(s, s.update(b.known.Ready(at.Service)), batching)
+		go b.inspect(s, s.refreshWorkers(b.registry.Ready(at.Service)), batching)
 	}
-	s.lookedAt = now
+	s.checkedAt = now
 	return s.inspection
 }
 
-// inspect asks all workers at once, and ends the inspection when all have answered or the time
-// is over.
+// inspect queries all workers concurrently and ends the inspection when all have answered or the
+// timeout expires.
 func (b *Batcher) inspect(s *service, workers []*worker, batching *route.Batching) {
 	ctx, cancel := context.WithTimeout(context.Background(), inspectTimeout)
 	defer cancel()
 	var group sync.WaitGroup
 	for _, w := range workers {
 		endpoint := w.endpoint
-		group.Go(func() { b.ask(ctx, s, w, endpoint, batching) })
+		group.Go(func() { b.inspectWorker(ctx, s, w, endpoint, batching) })
 	}
 	group.Wait()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	close(s.inspection)
 	s.inspection = nil
-	s.lookedAt = b.clock.Now()
+	s.checkedAt = b.clock.Now()
 }
 
-func (b *Batcher) ask(ctx context.Context, s *service, w *worker, endpoint fleet.Endpoint, batching *route.Batching) {
+func (b *Batcher) inspectWorker(ctx context.Context, s *service, w *worker, endpoint fleet.Endpoint, batching *route.Batching) {
 	report, err := b.caller.Report(ctx, endpoint)
-	fields := logrus.Fields{"event": "endpoint_inspected", "service": s.at.Service, "endpoint": endpoint.ID}
+	fields := logrus.Fields{"event": "endpoint_inspected", "service": s.key.Service, "endpoint": endpoint.ID}
 	if err != nil {
 		b.log.WithFields(fields).Info(err)
 	} else {
@@ -100,30 +100,29 @@
 	defer b.mu.Unlock()
 	switch now := b.clock.Now(); {
 	case w.running > 0:
-		// What was sent meanwhile tells more.
+		// A call sent in the meantime provides more recent state.
 	case ctx.Err() != nil:
-		// It is silent, and may be cut off: it gets work, and counts in forecasts, when it has been
-		// reached.
-		w.failed(now)
+		// The endpoint did not answer and may be partitioned off: it must be probed first.
+		w.recordFailure(now)
 	case err != nil:
-		// It answers, but does not tell what it does: it is taken to be free.
+		// The endpoint answers but does not report its load: it is assumed to be idle.
 	default:
-		w.inspected(now, report, batching)
+		w.applyReport(now, report, batching)
 	}
 }
 
-// inspected takes in what an endpoint told that has no call of this planner.
-func (w *worker) inspected(now time.Time, report Report, batching *route.Batching) {
-	call := float64(w.expected(now, batching.CallTime(batching.Size)))
+// applyReport updates a worker that has no calls of this planner from a report.
+func (w *worker) applyReport(now time.Time, report Report, batching *route.Batching) {
+	call := float64(w.expectedTime(now, batching.CallTime(batching.Size)))
 	busy := float64(report.Waiting)
 	calls := report.Waiting
 	if report.Busy {
-		busy += halfDone
+		busy += remainingCallShare
 		calls++
 	}
-	w.others = othersWork{calls: calls, until: now.Add(time.Duration(busy * call))}
-	w.unaccounted, w.unaccountedAt = 0, now
+	w.external = externalCalls{count: calls, until: now.Add(time.Duration(busy * call))}
+	w.externalBytes, w.externalBytesAt = 0, now
 	if taken := batching.RoomBytes - report.FreeBytes - w.heldBytes(now); taken > 0 {
-		w.unaccounted = taken
+		w.externalBytes = taken
 	}
 }
--- a/pkg/batch/ledger.go
+++ b/pkg/batch/ledger.go
@@ -4,78 +4,78 @@
 	"time"
 )
 
-// Ledger is what one planner knows of the endpoints of a part, for the next one.
+// Ledger is a planner's state of the endpoints in a partition, passed to the next planner.
 type Ledger struct {
 	Endpoints []EndpointLedger `json:"endpoints,omitempty"`
 }
 
-// EndpointLedger is what is known of one endpoint. Times are told as times left, since the
-// clocks of two instances differ.
+// EndpointLedger is the state of one endpoint. Times are durations from now because the clocks of
+// instances differ.
 type EndpointLedger struct {
 	Queue    Queue  `json:"queue"`
 	Endpoint string `json:"endpoint"`
-	// Calls is how many are under way, BusyMs the time in milliseconds that they are expected to
-	// last, and ReservedBytes the room for their results.
+	// Calls is the number of running calls, BusyMs their expected remaining time in milliseconds,
+	// and ReservedBytes the memory reserved for their results.
 	Calls         int   `json:"calls,omitempty"`
 	BusyMs        int64 `json:"busy_ms,omitempty"`
 	ReservedBytes int64 `json:"reserved_bytes,omitempty"`
-	// Held are the results that it keeps; OthersBytes is the room of results that nobody has
-	// an account of.
+	// Held lists the results stored at the endpoint. OthersBytes is the memory taken by results
+	// that no planner tracks.
 	Held        []HeldResult `json:"held,omitempty"`
 	OthersBytes int64        `json:"others_bytes,omitempty"`
-	// Slowness is the time of its calls as a multiple of the configured time; Margin the part of
-	// its room that is left free.
+	// Slowness is the duration of calls relative to the configured time. Margin is the fraction of
+	// the memory that is left free.
 	Slowness float64 `json:"slowness"`
 	Margin   float64 `json:"margin,omitempty"`
-	// Unreached says that its last call failed, and that it was not reached since.
+	// Unreached is set if the last call failed and the endpoint has not been reached since.
 	Unreached bool `json:"unreached,omitempty"`
 }
 
-// HeldResult is a result that an endpoint keeps.
+// HeldResult is a result stored at an endpoint.
 type HeldResult struct {
 	Handle string `json:"handle"`
 	Bytes  int64  `json:"bytes"`
-	// LeftMs is when the endpoint gives it up by itself, in milliseconds from now.
+	// LeftMs is the time until the endpoint discards the result, in milliseconds.
 	LeftMs int64 `json:"left_ms"`
 }
 
-// in tells whether a queue is one of a part of so many.
-func (q Queue) in(part, parts int) bool { return q.Part == part && q.Parts == parts }
+// belongsTo reports whether the queue is in the given partition.
+func (q Queue) belongsTo(part, parts int) bool { return q.Part == part && q.Parts == parts }
 
-// Release stops the work of a part: what waits is settled as moved, no call begins, and those
-// under way go on. It returns what is known of the part's endpoints.
+// Release stops the work of a partition: queued pieces are settled as moved, no further calls are
+// sent, and running calls continue. It returns the state of the endpoints.
 func (b *Batcher) Release(part, parts int) Ledger {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
 	var ledger Ledger
 	for at, s := range b.services {
-		if !at.in(part, parts) {
+		if !at.belongsTo(part, parts) {
 			continue
 		}
 		s.released = true
 		b.dispatch(s)
 		for _, w := range s.workers {
-			ledger.Endpoints = append(ledger.Endpoints, s.account(w, now, b))
+			ledger.Endpoints = append(ledger.Endpoints, s.endpointLedger(w, now, b))
 		}
 	}
 	return ledger
 }
 
-// account is what is known of one endpoint.
-func (s *service) account(w *worker, now time.Time, b *Batcher) EndpointLedger {
+// endpointLedger returns the state of one endpoint.
+func (s *service) endpointLedger(w *worker, now time.Time, b *Batcher) EndpointLedger {
 	account := EndpointLedger{
-		Queue:         s.at,
+		Queue:         s.key,
 		Endpoint:      w.endpoint.ID,
-		Calls:         w.running + w.others.running(now),
-		BusyMs:        max(0, w.busyAt(now).Sub(now).Milliseconds()),
-		ReservedBytes: w.reserved + w.others.reserved(now),
-		Slowness:      w.slow(now),
+		Calls:         w.running + w.external.running(now),
+		BusyMs:        max(0, w.expectedIdle(now).Sub(now).Milliseconds()),
+		ReservedBytes: w.reserved + w.external.reserved(now),
+		Slowness:      w.slownessAt(now),
 		Margin:        w.margin,
-		Unreached:     w.out(),
+		Unreached:     w.unreachable(),
 	}
-	if batching := b.known.Batching(s.at.Service); batching != nil {
-		account.OthersBytes = w.othersRoom(now, batching)
+	if batching := b.registry.Batching(s.key.Service); batching != nil {
+		account.OthersBytes = w.externalBytesLeft(now, batching)
 	}
 	for handle, r := range w.held {
 		if r.until.After(now) {
@@ -85,81 +85,81 @@
 	return account
 }
 
-// Take begins the work of a part, with what another planner knew of its endpoints. Where this
-// one knows something itself, the worse of the two counts. Of an endpoint at which a call of this planner
-// has ended lately, only what is at work and held there is taken over: the other may have been cut off
-// from it, and it would rest though this one reaches it. Take tells whether there is such an endpoint.
+// Take starts the work of a partition with the state of its previous planner. Where this planner
+// has its own measurements, the worse of the two applies. For endpoints at which a call of this
+// planner succeeded recently, only running calls and stored results are imported, since the other
+// planner may have been partitioned off. Take reports whether there is such an endpoint.
 func (b *Batcher) Take(part, parts int, ledger Ledger) (planned bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
-	b.resume(part, parts)
+	b.resumeLocked(part, parts)
 	for _, account := range ledger.Endpoints {
-		if !account.Queue.in(part, parts) || b.known.Batching(account.Queue.Service) == nil {
+		if !account.Queue.belongsTo(part, parts) || b.registry.Batching(account.Queue.Service) == nil {
 			continue
 		}
 		s := b.service(account.Queue)
-		s.lookedAt = now
-		s.update(b.known.Ready(s.at.Service))
+		s.checkedAt = now
+		s.refreshWorkers(b.registry.Ready(s.key.Service))
 		w := s.workers[account.Endpoint]
 		if w == nil {
 			continue
 		}
-		w.takeWork(now, account)
-		if w.endedLately(now) {
+		w.importCalls(now, account)
+		if w.recentlySucceeded(now) {
 			planned = true
 			continue
 		}
-		w.takeOver(now, account)
+		w.importState(now, account)
 	}
 	return planned
 }
 
-// Resume begins the work of a part of which nothing is known: its endpoints are asked before
+// Resume starts the work of a partition without previous state: its endpoints are inspected before
 // the first forecast.
 func (b *Batcher) Resume(part, parts int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.resume(part, parts)
+	b.resumeLocked(part, parts)
 }
 
-func (b *Batcher) resume(part, parts int) {
+func (b *Batcher) resumeLocked(part, parts int) {
 	for at, s := range b.services {
-		if at.in(part, parts) && s.released {
+		if at.belongsTo(part, parts) && s.released {
 			s.released = false
-			s.lookedAt = time.Time{}
+			s.checkedAt = time.Time{}
 		}
 	}
 }
 
-// takeWork takes in which calls of another planner an endpoint works on, and what it holds of them.
-func (w *worker) takeWork(now time.Time, account EndpointLedger) {
+// importCalls imports the running calls and stored results of another planner.
+func (w *worker) importCalls(now time.Time, account EndpointLedger) {
 	if account.Calls > 0 {
-		w.others = othersWork{calls: account.Calls, until: now.Add(time.Duration(account.BusyMs) * time.Millisecond), bytes: account.ReservedBytes}
+		w.external = externalCalls{count: account.Calls, until: now.Add(time.Duration(account.BusyMs) * time.Millisecond), bytes: account.ReservedBytes}
 	}
 	for _, r := range account.Held {
 		w.held[r.Handle] = heldResult{bytes: r.Bytes, until: now.Add(time.Duration(r.LeftMs) * time.Millisecond)}
 	}
 }
 
-// endedLately tells whether a call of this planner has ended at the endpoint as it should, not long ago.
-func (w *worker) endedLately(now time.Time) bool {
-	return !w.endedAt.IsZero() && now.Sub(w.endedAt) <= inspectAfter
+// recentlySucceeded reports whether a call of this planner succeeded recently.
+func (w *worker) recentlySucceeded(now time.Time) bool {
+	return !w.lastSuccess.IsZero() && now.Sub(w.lastSuccess) <= inspectIdleTime
 }
 
-// takeOver takes in what another planner saw of an endpoint.
-func (w *worker) takeOver(now time.Time, account EndpointLedger) {
+// importState imports the measurements of another planner.
+func (w *worker) importState(now time.Time, account EndpointLedger) {
 	if account.OthersBytes > 0 {
-		w.unaccounted, w.unaccountedAt = account.OthersBytes, now
+		w.externalBytes, w.externalBytesAt = account.OthersBytes, now
 	}
-	w.slowness, w.learntAt = max(w.slow(now), account.Slowness), now
+	w.slowness, w.slownessTime = max(w.slownessAt(now), account.Slowness), now
 	w.margin = max(w.margin, min(maxMargin, account.Margin))
 	if account.Unreached && w.running == 0 {
-		w.failed(now)
+		w.recordFailure(now)
 	}
 }
 
-// Adopt takes results in that another planner had made, so that their room is counted.
+// Adopt tracks results made for another planner so that their memory is accounted for.
 func (b *Batcher) Adopt(results []Result) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -172,21 +172,21 @@
 	}
 }
 
-// othersWork is the calls under way at an endpoint that another planner sent.
-type othersWork struct {
-	calls int
+// externalCalls is the running calls of another planner at an endpoint.
+type externalCalls struct {
+	count int
 	until time.Time
 	bytes int64
 }
 
-func (o othersWork) running(now time.Time) int {
+func (o externalCalls) running(now time.Time) int {
 	if now.Before(o.until) {
-		return o.calls
+		return o.count
 	}
 	return 0
 }
 
-func (o othersWork) reserved(now time.Time) int64 {
+func (o externalCalls) reserved(now time.Time) int64 {
 	if now.Before(o.until) {
 		return o.bytes
 	}
--- a/pkg/batch/part.go
+++ b/pkg/batch/part.go
@@ -11,13 +11,13 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/ownership"
 )
 
-// endpoints returns those of the queue's part.
-func (q Queue) endpoints(ready []fleet.Endpoint, regions ownership.Regions) []fleet.Endpoint {
+// partEndpoints returns the endpoints in the queue's partition.
+func (q Queue) partEndpoints(ready []fleet.Endpoint, regions ownership.Regions) []fleet.Endpoint {
 	if q.Parts <= 1 {
 		return ready
 	}
 	var own []fleet.Endpoint
-	eachPart(ready, q.Parts, regions, func(e fleet.Endpoint, part int) {
+	forEachPart(ready, q.Parts, regions, func(e fleet.Endpoint, part int) {
 		if part == q.Part {
 			own = append(own, e)
 		}
@@ -25,79 +25,78 @@
 	return own
 }
 
-// eachPart cuts endpoints into parts, those of each region by themselves if the parts are cut by region.
-func eachPart(ready []fleet.Endpoint, parts int, regions ownership.Regions, do func(e fleet.Endpoint, part int)) {
+// forEachPart assigns endpoints to partitions, per region if the partitions are split by region.
+func forEachPart(ready []fleet.Endpoint, parts int, regions ownership.Regions, do func(e fleet.Endpoint, part int)) {
 	if !regions.Cut(parts) {
-		eachEqualPart(ready, parts, do)
+		forEachEqualPart(ready, parts, do)
 		return
 	}
-	inside := map[string][]fleet.Endpoint{}
+	byRegion := map[string][]fleet.Endpoint{}
 	for _, e := range ready {
-		// One whose region is not known falls to any.
+		// Endpoints of unknown region are spread over all regions by hash.
 		region := regions.Of(regions.Part(regions.In(e.FailureDomain), xxhash.Sum64String(e.ID), parts))
-		inside[region] = append(inside[region], e)
+		byRegion[region] = append(byRegion[region], e)
 	}
-	for region, endpoints := range inside {
-		eachEqualPart(endpoints, regions.Each(parts), func(e fleet.Endpoint, number int) {
+	for region, endpoints := range byRegion {
+		forEachEqualPart(endpoints, regions.Each(parts), func(e fleet.Endpoint, number int) {
 			do(e, regions.Part(region, uint64(number), parts).Number)
 		})
 	}
 }
 
-// eachEqualPart cuts endpoints into equal parts: by rendezvous hashing, but at most an equal share for
-// each part, of all endpoints and of each failure domain's, so that results can be read where they
-// were made; and few endpoints change their part when one comes or goes.
-func eachEqualPart(ready []fleet.Endpoint, parts int, do func(e fleet.Endpoint, part int)) {
+// forEachEqualPart assigns endpoints to partitions of equal size by rendezvous hashing. It also
+// spreads each failure domain evenly, so that results can be read in the domain where they were
+// made. Few endpoints change partition when one is added or removed.
+func forEachEqualPart(ready []fleet.Endpoint, parts int, do func(e fleet.Endpoint, part int)) {
 	domains := map[string]int{}
 	for _, e := range ready {
 		domains[e.FailureDomain]++
 	}
-	cut := &cutting{of: parts, share: share(len(ready), parts), taken: make([]int, parts), domains: map[domainPart]int{}}
-	for _, e := range byHash(ready) {
-		do(e, cut.choose(e, share(domains[e.FailureDomain], parts)))
+	p := &partitioner{parts: parts, maxEndpoints: ceilDiv(len(ready), parts), counts: make([]int, parts), domainCounts: map[domainPart]int{}}
+	for _, e := range sortedByHash(ready) {
+		do(e, p.assign(e, ceilDiv(domains[e.FailureDomain], parts)))
 	}
 }
 
-// sameSlice tells whether two slices are one. Snapshots of the fleet are immutable, so that the
-// same slice has the same endpoints.
+// sameSlice reports whether two slices share their backing array and length. Fleet snapshots are
+// immutable, so such slices have equal contents.
 func sameSlice(a, b []fleet.Endpoint) bool {
 	return len(a) == len(b) && len(a) > 0 && &a[0] == &b[0]
 }
 
-// share is an equal share of n, rounded up.
-func share(n, of int) int { return (n + of - 1) / of }
+func ceilDiv(n, of int) int { return (n + of - 1) / of }
 
-// domainPart is a part of a failure domain's endpoints.
+// domainPart is a failure domain and a partition.
 type domainPart struct {
 	domain string
 	part   int
 }
 
-// cutting counts what the parts have been given.
-type cutting struct {
-	of      int
-	share   int
-	taken   []int
-	domains map[domainPart]int
+// partitioner counts the endpoints assigned to each partition.
+type partitioner struct {
+	parts        int
+	maxEndpoints int
+	counts       []int
+	domainCounts map[domainPart]int
 }
 
-// choose gives an endpoint to a part that has less than its share, of its failure domain's
-// endpoints too if there is one.
-func (c *cutting) choose(e fleet.Endpoint, ofDomain int) int {
-	open := func(part int) bool { return c.taken[part] < c.share }
-	openHere := func(part int) bool {
-		return open(part) && c.domains[domainPart{e.FailureDomain, part}] < ofDomain
+// assign assigns an endpoint to a partition that is not full, preferring one that is not full for
+// the endpoint's failure domain.
+func (p *partitioner) assign(e fleet.Endpoint, maxOfDomain int) int {
+	hasCapacity := func(part int) bool { return p.counts[part] < p.maxEndpoints }
+	hasDomainCapacity := func(part int) bool {
+		return hasCapacity(part) && p.domainCounts[domainPart{e.FailureDomain, part}] < maxOfDomain
 	}
-	part, found := bestPart(e.ID, c.of, openHere)
+	part, found := highestWeightPart(e.ID, p.parts, hasDomainCapacity)
 	if !found {
-		part, _ = bestPart(e.ID, c.of, open)
+		part, _ = highestWeightPart(e.ID, p.parts, hasCapacity)
 	}
-	c.taken[part]++
-	c.domains[domainPart{e.FailureDomain, part}]++
+	p.counts[part]++
+	p.domainCounts[domainPart{e.FailureDomain, part}]++
 	return part
 }
 
-func byHash(ready []fleet.Endpoint) []fleet.Endpoint {
+func sortedByHash(ready []fleet.Endpoint) []fleet.Endpoint {
 	sorted := slices.Clone(ready)
 	slices.SortFunc(sorted, func(a, b fleet.Endpoint) int {
 		return cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID))
@@ -105,12 +104,13 @@
 	return sorted
 }
 
-// bestPart returns the open part with the greatest weight for an endpoint, if one is open.
-func bestPart(id string, parts int, open func(part int) bool) (best int, found bool) {
+// highestWeightPart returns the eligible partition with the highest rendezvous weight for an
+// endpoint.
+func highestWeightPart(id string, parts int, eligible func(part int) bool) (best int, found bool) {
 	most := uint64(0)
 	for part := range parts {
 		weight := xxhash.Sum64String(id + "/" + strconv.Itoa(part))
-		if open(part) && (!found || weight > most) {
+		if eligible(part) && (!found || weight > most) {
 			best, most, found = part, weight, true
 		}
 	}
--- a/pkg/batch/part_bench_test.go
+++ b/pkg/batch/part_bench_test.go
@@ -9,8 +9,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/ownership"
 )
 
-// BenchmarkPartsByRegion is one cut of 1,000 endpoints: 12.1 ms with 12 parts and 15.7 ms with 96 if the regions are
-// sorted for each endpoint, 1.8 ms and 5.0 ms if once.
+// BenchmarkPartsByRegion measures partitioning 1,000 endpoints by region.
 func BenchmarkPartsByRegion(b *testing.B) {
 	of := map[string]string{}
 	for zone := range 9 {
--- a/pkg/batch/part_test.go
+++ b/pkg/batch/part_test.go
@@ -15,14 +15,14 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/route"
 )
 
-var _ = Describe("a part of the endpoints", func() {
+var _ = Describe("a partition of the endpoints", func() {
 	var (
-		e *endpoints
+		e *fakeEndpoints
 		b *batch.Batcher
 	)
 
 	BeforeEach(func() {
-		e = &endpoints{batching: route.Batching{Slots: 1, Size: 4}}
+		e = &fakeEndpoints{batching: route.Batching{Slots: 1, Size: 4}}
 		b = batch.New(e, e, e, clockwork.NewFakeClock(), metrics.NewSet(), logging.Discard().For("batch"))
 	})
 
@@ -49,7 +49,7 @@
 		}
 	})
 
-	It("has endpoints of its region alone, where parts are cut by region, and each endpoint is in one", func() {
+	It("has only endpoints of its region if partitioned by region, and each endpoint is in one partition", func() {
 		regions := ownership.NewRegions(map[string]string{"zone-0": "north", "zone-1": "north", "zone-2": "south"})
 		var all []fleet.Endpoint
 		for n := range 19 {
@@ -72,7 +72,7 @@
 		Expect(seen).To(HaveEach(1))
 	})
 
-	It("keeps most of its endpoints when one goes", func() {
+	It("keeps most of its endpoints when one is removed", func() {
 		var all []fleet.Endpoint
 		for n := range 20 {
 			all = append(all, fleet.Endpoint{ID: fmt.Sprint("e", n)})
@@ -102,7 +102,7 @@
 		Expect(moved).To(BeNumerically("<=", 4))
 	})
 
-	It("is told what is known of its endpoints when they are cut otherwise", func() {
+	It("receives the ledger of its endpoints when the number of partitions changes", func() {
 		for n := range 12 {
 			e.ready = append(e.ready, fleet.Endpoint{ID: fmt.Sprint("e", n), Service: "s"})
 		}
@@ -123,7 +123,7 @@
 		}
 	})
 
-	It("is told of results that are given up when their makers fall to it", func() {
+	It("receives freed results of its endpoints when the number of partitions changes", func() {
 		for n := range 12 {
 			e.ready = append(e.ready, fleet.Endpoint{ID: fmt.Sprint("e", n), Service: "s"})
 		}
--- a/pkg/batch/proving.go
+++ b/pkg/batch/proving.go
@@ -8,54 +8,54 @@
 )
 
 const (
-	// reachTimeout bounds how long an endpoint may take to be reached.
-	reachTimeout = 300 * time.Millisecond
-	// silentAfter is how long a call that failed has taken at least if its endpoint was
-	// silent. One whose process has ended refuses at once.
-	silentAfter = 200 * time.Millisecond
+	// probeTimeout bounds one probe.
+	probeTimeout = 300 * time.Millisecond
+	// minSilentCall is the minimum duration of a failed call after which its endpoint is considered
+	// unresponsive. An endpoint whose process has exited refuses connections at once.
+	minSilentCall = 200 * time.Millisecond
 )
 
-// suspectDomain has the workers of a failure domain reached that have no calls: it may be
-// cut off, and each of them would cost its pieces the time of a call that fails.
-func (b *Batcher) suspectDomain(domain string, now time.Time) {
+// probeDomain probes the idle workers of a failure domain in which a call got no response, so that
+// no further calls are lost if the whole domain is unreachable.
+func (b *Batcher) probeDomain(domain string, now time.Time) {
 	for _, s := range b.services {
 		for _, w := range s.workers {
-			if w.endpoint.FailureDomain != domain || w.running > 0 || w.unproved {
+			if w.endpoint.FailureDomain != domain || w.running > 0 || w.needsProbe {
 				continue
 			}
-			w.unproved = true
-			w.restUntil = now
-			w.proving = true
-			go b.reach(s, w)
+			w.needsProbe = true
+			w.backoffUntil = now
+			w.probing = true
+			go b.probe(s, w)
 		}
 	}
 }
 
-// prove has the workers reached whose last call failed and which have rested: pieces
-// that are urgent do not wait for an endpoint that may be cut off.
-func (b *Batcher) prove(s *service, now time.Time) {
+// probeFailed probes the workers whose last call failed and whose back-off has ended.
+func (b *Batcher) probeFailed(s *service, now time.Time) {
 	for _, w := range s.workers {
-		if !w.unproved || w.proving || now.Before(w.restUntil) {
+		if !w.needsProbe || w.probing || now.Before(w.backoffUntil) {
 			continue
 		}
-		w.proving = true
-		go b.reach(s, w)
+		w.probing = true
+		go b.probe(s, w)
 	}
 }
 
-// reach gives a worker calls again if it can be reached, and lets it rest otherwise.
-func (b *Batcher) reach(s *service, w *worker) {
-	ctx, cancel := context.WithTimeout(context.Background(), reachTimeout)
+// probe makes a worker available again if its endpoint can be reached; otherwise the worker backs
+// off.
+func (b *Batcher) probe(s *service, w *worker) {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	err := b.caller.Reach(ctx, w.endpoint)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w.proving = false
+	w.probing = false
 	if err != nil {
-		w.failed(b.clock.Now())
+		w.recordFailure(b.clock.Now())
 		return
 	}
-	w.unproved = false
-	b.log.WithFields(logrus.Fields{"event": "endpoint_reached", "endpoint": w.endpoint.ID, "service": s.at.Service}).Info()
+	w.needsProbe = false
+	b.log.WithFields(logrus.Fields{"event": "endpoint_reached", "endpoint": w.endpoint.ID, "service": s.key.Service}).Info()
 	b.dispatch(s)
 }
--- a/pkg/batch/queue.go
+++ b/pkg/batch/queue.go
@@ -6,62 +6,60 @@
 	"time"
 )
 
-// item is a piece that waits, or that is in a call.
+// item is a piece that is queued or part of a call.
 type item struct {
 	piece Piece
-	// tries is how many calls it was in.
-	tries int
-	group *group
-	// slot is the index of the result in the group.
-	slot int
-	// fetched says that its endpoint has fetched its inputs.
+	// attempts is the number of calls that included the piece.
+	attempts int
+	group    *group
+	// index is the index of the result in the group.
+	index int
+	// fetched is set when the endpoint has fetched the inputs.
 	fetched bool
 }
 
-// group is what was submitted together: the pieces of one stage of one request.
+// group is the pieces of one stage of one request, which are submitted together.
 type group struct {
 	results []Result
-	left    int
+	pending int
 	done    chan struct{}
-	// abandoned says that nobody waits for the results any more.
+	// abandoned is set when the caller no longer waits for the results.
 	abandoned bool
-	// unread counts the pieces whose inputs their endpoints have not fetched yet. When
-	// none is left, read is called, and none of the pieces can be made again.
+	// unread counts the pieces whose inputs have not been fetched. When it reaches zero, onRead is
+	// called and no piece is retried.
 	unread int
-	read   func()
-	// domain is the failure domain that its first piece was sent to: the others are best
-	// made there too.
+	onRead func()
+	// domain is the failure domain of the first call, preferred for the remaining pieces.
 	domain string
 }
 
-func newGroup(n int, read func()) *group {
-	return &group{results: make([]Result, n), left: n, done: make(chan struct{}), unread: n, read: read}
+func newGroup(n int, onRead func()) *group {
+	return &group{results: make([]Result, n), pending: n, done: make(chan struct{}), unread: n, onRead: onRead}
 }
 
-// inputsGone tells whether the inputs have been given up.
-func (g *group) inputsGone() bool { return g.read != nil && g.unread == 0 }
+// inputsReleased reports whether the inputs have been freed.
+func (g *group) inputsReleased() bool { return g.onRead != nil && g.unread == 0 }
 
-// settle sets the result of one piece.
-func (g *group) settle(slot int, r Result) {
-	g.results[slot] = r
-	g.left--
-	if g.left == 0 {
+func (g *group) settle(index int, r Result) {
+	g.results[index] = r
+	g.pending--
+	if g.pending == 0 {
 		close(g.done)
 	}
 }
 
-// queue holds the pieces that wait for a service.
+// queue holds the pieces that wait for an endpoint of a service.
 type queue struct{ items []*item }
 
 func (q *queue) add(items ...*item) { q.items = append(q.items, items...) }
 
-// sort puts first what can still be in time, by the end of its objective; requests stay
-// together.
+// sort orders the pieces by due time and request, with those that can no longer meet their due time
+// last.
 func (q *queue) sort(now time.Time, call time.Duration) {
-	soonest := now.Add(call)
+	earliest := now.Add(call)
 	slices.SortStableFunc(q.items, func(a, b *item) int {
 		return cmp.Or(
-			compareBool(a.late(soonest), b.late(soonest)),
+			compareBool(a.missesDue(earliest), b.missesDue(earliest)),
 			a.piece.Due.Compare(b.piece.Due),
 			cmp.Compare(a.piece.Request, b.piece.Request),
 		)
@@ -78,15 +76,15 @@
 	return 1
 }
 
-// late tells whether a piece can't be made before its request's objective ends.
-func (i *item) late(soonest time.Time) bool { return soonest.After(i.piece.Due) }
+// missesDue reports whether a piece can't complete by its due time.
+func (i *item) missesDue(earliest time.Time) bool { return earliest.After(i.piece.Due) }
 
-// inputsExpired tells whether a piece's inputs have gone by themselves.
+// inputsExpired reports whether an input of the piece has expired.
 func (i *item) inputsExpired(now time.Time) bool {
 	return !i.piece.InputsUntil.IsZero() && now.After(i.piece.InputsUntil)
 }
 
-// domain is the failure domain where a piece is best made; empty: any.
+// domain returns the preferred failure domain of the piece; empty means any.
 func (i *item) domain() string {
 	if i.group.domain != "" {
 		return i.group.domain
@@ -94,65 +92,64 @@
 	return i.piece.Domain
 }
 
-// drop removes pieces that nobody waits for, and settles those whose deadline has passed
-// or whose inputs have gone.
-func (q *queue) drop(now time.Time) {
+// dropExpired removes abandoned pieces and settles those whose deadline has passed or whose inputs
+// have expired.
+func (q *queue) dropExpired(now time.Time) {
 	q.items = slices.DeleteFunc(q.items, func(i *item) bool {
 		if i.group.abandoned {
 			return true
 		}
 		if now.After(i.piece.Deadline) {
-			i.group.settle(i.slot, Result{Reason: Late})
+			i.group.settle(i.index, Result{Reason: Late})
 			return true
 		}
 		if i.inputsExpired(now) {
-			i.group.settle(i.slot, Result{Reason: Gone})
+			i.group.settle(i.index, Result{Reason: Gone})
 			return true
 		}
 		return false
 	})
 }
 
-// settleAll settles all that waits with a reason.
+// settleAll settles all queued pieces with a reason.
 func (q *queue) settleAll(reason Reason) {
 	for _, i := range q.items {
 		if !i.group.abandoned {
-			i.group.settle(i.slot, Result{Reason: reason})
+			i.group.settle(i.index, Result{Reason: reason})
 		}
 	}
 	q.items = nil
 }
 
-// take removes the first pieces that fit: at most size of them, of at most room bytes, of
-// those that wanted holds for. Pieces of a request go together where they can, so that no
-// result waits for others that are made in a later call; parts of requests are taken only
-// first, and to fill a call that would be far from full.
-func (q *queue) take(size int, room int64, wanted func(*item) bool) []*item {
-	filling := &filling{size: size, room: room, taken: make(map[*item]bool, size)}
-	runs := q.runs(wanted)
+// take removes a batch of eligible pieces, at most size of them and within freeBytes. It keeps the
+// pieces of a request in one call where possible, so that no result waits for a later call. It
+// splits requests other than the first only if the batch would otherwise be too small.
+func (q *queue) take(size int, freeBytes int64, eligible func(*item) bool) []*item {
+	b := &batchBuilder{size: size, freeBytes: freeBytes, taken: make(map[*item]bool, size)}
+	runs := q.groupRuns(eligible)
 	for n, run := range runs {
-		if n == 0 || filling.fits(run) {
-			filling.add(run)
+		if n == 0 || b.fits(run) {
+			b.add(run)
 		}
 	}
-	if float64(len(filling.taken)) < wellFilled*float64(min(size, len(q.items))) {
+	if float64(len(b.taken)) < wellFilledRatio*float64(min(size, len(q.items))) {
 		for _, run := range runs {
-			filling.add(run)
+			b.add(run)
 		}
 	}
-	return q.remove(filling.taken)
+	return q.remove(b.taken)
 }
 
-// wellFilled is the part of a full call, or of what waits, from which a call is not filled
-// with parts of requests.
-const wellFilled = 0.8
+// wellFilledRatio is the fraction of a full batch, or of the queue, from which requests are not
+// split to fill the batch.
+const wellFilledRatio = 0.8
 
-// runs returns the wanted pieces, those of one group that wait next to each other together.
-func (q *queue) runs(wanted func(*item) bool) [][]*item {
+// groupRuns returns the eligible pieces, with adjacent pieces of a group combined.
+func (q *queue) groupRuns(eligible func(*item) bool) [][]*item {
 	var runs [][]*item
 	var last *group
 	for _, i := range q.items {
-		if !wanted(i) {
+		if !eligible(i) {
 			continue
 		}
 		if i.group != last {
@@ -164,7 +161,7 @@
 	return runs
 }
 
-// remove takes pieces out and returns them in order.
+// remove removes pieces from the queue and returns them in order.
 func (q *queue) remove(taken map[*item]bool) []*item {
 	removed := make([]*item, 0, len(taken))
 	rest := make([]*item, 0, len(q.items)-len(taken))
@@ -179,29 +176,29 @@
 	return removed
 }
 
-// filling is a call that is being filled.
-type filling struct {
-	size  int
-	room  int64
-	taken map[*item]bool
+// batchBuilder collects the pieces of a call.
+type batchBuilder struct {
+	size      int
+	freeBytes int64
+	taken     map[*item]bool
 }
 
-// fits tells whether all pieces of a run fit.
-func (f *filling) fits(run []*item) bool {
+// fits reports whether all pieces of a run fit.
+func (b *batchBuilder) fits(run []*item) bool {
 	bytes := int64(0)
 	for _, i := range run {
 		bytes += i.piece.Bytes
 	}
-	return len(run) <= f.size-len(f.taken) && bytes <= f.room
+	return len(run) <= b.size-len(b.taken) && bytes <= b.freeBytes
 }
 
-// add takes those of a run that fit.
-func (f *filling) add(run []*item) {
+// add adds the pieces of a run that fit.
+func (b *batchBuilder) add(run []*item) {
 	for _, i := range run {
-		if f.taken[i] || len(f.taken) >= f.size || i.piece.Bytes > f.room {
+		if b.taken[i] || len(b.taken) >= b.size || i.piece.Bytes > b.freeBytes {
 			continue
 		}
-		f.taken[i] = true
-		f.room -= i.piece.Bytes
+		b.taken[i] = true
+		b.freeBytes -= i.piece.Bytes
 	}
 }
--- a/pkg/batch/rest_test.go
+++ b/pkg/batch/rest_test.go
@@ -15,16 +15,16 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/route"
 )
 
-var _ = Describe("an endpoint that wants rest", func() {
+var _ = Describe("an endpoint that requested a back-off", func() {
 	var (
-		e     *endpoints
+		e     *fakeEndpoints
 		clock *clockwork.FakeClock
 		b     *batch.Batcher
 	)
 
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
-		e = &endpoints{
+		e = &fakeEndpoints{
 			calls:    make(chan *call, 100),
 			batching: route.Batching{Slots: 1, Size: 4, PerCall: 240 * time.Millisecond, PerPiece: 20 * time.Millisecond, RoomBytes: 1000, Retention: 4 * time.Second},
 			ready:    []fleet.Endpoint{{ID: "a", FailureDomain: "zone"}, {ID: "b", FailureDomain: "zone"}},
@@ -32,8 +32,8 @@
 		b = batch.New(e, e, e, clock, metrics.NewSet(), logging.Discard().For("batch"))
 	})
 
-	// have has one piece of a request made beside the test.
-	have := func(request string) chan []batch.Result {
+	// submit processes one piece of a request in a separate goroutine.
+	submit := func(request string) chan []batch.Result {
 		done := make(chan []batch.Result, 1)
 		due := clock.Now().Add(time.Hour)
 		go func() {
@@ -42,47 +42,47 @@
 		return done
 	}
 
-	next := func() *call {
+	nextCall := func() *call {
 		GinkgoHelper()
 		var c *call
 		Eventually(e.calls).Should(Receive(&c))
 		return c
 	}
 
-	none := func() {
+	expectNoCall := func() {
 		GinkgoHelper()
 		Consistently(e.calls).WithTimeout(50 * time.Millisecond).ShouldNot(Receive())
 	}
 
-	It("gets no call, and does not count in what can be made", func() {
-		e.setRest("a", 2*time.Second)
-		have("r1")
-		c := next()
+	It("gets no call and does not count in the capacity", func() {
+		e.setBackoff("a", 2*time.Second)
+		submit("r1")
+		c := nextCall()
 		Expect(c.endpoint).To(Equal("b"))
-		have("r2")
-		none()
-		Expect(b.Capacity(queue)).To(SatisfyAll(HaveField("AtOnce", 4), HaveField("Rest", BeZero())), "that of one endpoint")
-		c.made()
-		Expect(next().endpoint).To(Equal("b"))
-		e.setRest("a", 0)
+		submit("r2")
+		expectNoCall()
+		Expect(b.Capacity(queue)).To(SatisfyAll(HaveField("AtOnce", 4), HaveField("Rest", BeZero())), "the capacity of one endpoint")
+		c.complete()
+		Expect(nextCall().endpoint).To(Equal("b"))
+		e.setBackoff("a", 0)
 		clock.Advance(2 * time.Second)
-		have("r3")
-		Expect(next().endpoint).To(Equal("a"))
+		submit("r3")
+		Expect(nextCall().endpoint).To(Equal("a"))
 	})
 
-	It("is asked to free results when it has had its rest", func() {
-		e.setRest("a", time.Second)
-		made := have("r1")
-		next().made()
+	It("is asked to free results after the back-off", func() {
+		e.setBackoff("a", time.Second)
+		made := submit("r1")
+		nextCall().complete()
 		results := <-made
-		e.setRest("b", time.Second)
-		e.setRest("a", 2*time.Second)
+		e.setBackoff("b", time.Second)
+		e.setBackoff("a", 2*time.Second)
 		Expect(b.Capacity(queue)).To(SatisfyAll(HaveField("AtOnce", 0), HaveField("Rest", time.Second)))
-		e.setRest("a", 0)
+		e.setBackoff("a", 0)
 		b.Free(results)
 		b.Tick()
 		Consistently(e.Freed).WithTimeout(50 * time.Millisecond).Should(BeEmpty())
-		e.setRest("b", 0)
+		e.setBackoff("b", 0)
 		b.Tick()
 		Eventually(e.Freed).Should(Equal([]string{results[0].Handle}))
 	})
--- a/pkg/batch/settling.go
+++ b/pkg/batch/settling.go
@@ -16,7 +16,7 @@
 	return n
 }
 
-// firstReason is that of the first piece that was not made; empty if all were.
+// firstReason returns the reason of the first piece that was not completed; empty if there is none.
 func firstReason(results []Result) string {
 	for _, r := range results {
 		if r.Handle == "" {
@@ -26,109 +26,109 @@
 	return ""
 }
 
-// barredRest is how long an endpoint gets no call after one that it may not get: until it is known why.
-const barredRest = 20 * time.Millisecond
+// barredBackoff is the back-off of a worker whose call was barred.
+const barredBackoff = 20 * time.Millisecond
 
-// settle hands results out, puts pieces back that may be tried again, and returns the
-// results that nobody waits for.
-func (b *Batcher) settle(s *service, w *worker, items []*item, results []Result, outcome CallOutcome, batching *route.Batching, now time.Time) []Result {
+// handleResults settles the pieces of a call, requeues those that may be retried and returns the
+// results of abandoned groups.
+func (b *Batcher) handleResults(s *service, w *worker, items []*item, results []Result, outcome CallOutcome, batching *route.Batching, now time.Time) []Result {
 	if outcome != Made {
-		b.callFailed(s, w, items, outcome, now)
+		b.handleCallFailure(s, w, items, outcome, now)
 		return nil
 	}
 	var unused []Result
-	var lacked int64
+	var missingBytes int64
 	for i, it := range items {
 		r := results[i]
 		if r.Handle == "" {
 			if r.Reason == NoRoom {
-				lacked += it.piece.Bytes
+				missingBytes += it.piece.Bytes
 			}
-			b.pieceFailed(s, it, r.Reason)
+			b.handlePieceFailure(s, it, r.Reason)
 			continue
 		}
 		r.Endpoint = w.endpoint.ID
 		r.Domain = w.endpoint.FailureDomain
-		r.Queue = s.at
+		r.Queue = s.key
 		r.Bytes = it.piece.Bytes
 		r.Until = now.Add(batching.Retention)
 		w.held[r.Handle] = heldResult{bytes: it.piece.Bytes, until: r.Until}
 		if it.group.abandoned {
-			b.wasted.Inc()
+			b.unused.Inc()
 			unused = append(unused, r)
 			continue
 		}
-		it.group.settle(it.slot, r)
+		it.group.settle(it.index, r)
 	}
-	if lacked > 0 {
-		w.noRoom(now, lacked, batching)
+	if missingBytes > 0 {
+		w.recordMemoryShortage(now, missingBytes, batching)
 	}
 	return unused
 }
 
-func (b *Batcher) callFailed(s *service, w *worker, items []*item, outcome CallOutcome, now time.Time) {
+func (b *Batcher) handleCallFailure(s *service, w *worker, items []*item, outcome CallOutcome, now time.Time) {
 	switch outcome {
 	case Barred:
-		// It says nothing of the endpoint.
-		w.restUntil = now.Add(barredRest)
+		// A barred call gives no information about the endpoint.
+		w.backoffUntil = now.Add(barredBackoff)
 	case NotRun:
-		w.full(now)
+		w.recordFull(now)
 	default:
-		w.failed(now)
+		w.recordFailure(now)
 	}
 	for _, it := range items {
 		if outcome == Lost {
-			b.putBack(s, it)
+			b.retry(s, it)
 			continue
 		}
-		b.untried(s, it)
+		b.requeue(s, it)
 	}
 }
 
-// untried puts a piece back that nothing was done for.
-func (b *Batcher) untried(s *service, it *item) {
-	if it.group.inputsGone() {
-		it.group.settle(it.slot, Result{Reason: Gone})
+// requeue returns a piece to the queue without counting an attempt.
+func (b *Batcher) requeue(s *service, it *item) {
+	if it.group.inputsReleased() {
+		it.group.settle(it.index, Result{Reason: Gone})
 		return
 	}
-	b.unfetched(it)
-	it.tries--
+	b.markNotFetched(it)
+	it.attempts--
 	s.queue.add(it)
 }
 
-// unfetched notes that a piece's inputs have not been fetched after all.
-func (b *Batcher) unfetched(it *item) {
+// markNotFetched reverts the fetched state of a piece.
+func (b *Batcher) markNotFetched(it *item) {
 	if it.fetched {
 		it.fetched = false
 		it.group.unread++
 	}
 }
 
-func (b *Batcher) pieceFailed(s *service, it *item, reason Reason) {
+func (b *Batcher) handlePieceFailure(s *service, it *item, reason Reason) {
 	switch reason {
 	case NoRoom:
-		b.untried(s, it)
+		b.requeue(s, it)
 	case Gone, Late:
-		it.group.settle(it.slot, Result{Reason: reason})
+		it.group.settle(it.index, Result{Reason: reason})
 	default:
-		b.putBack(s, it)
+		b.retry(s, it)
 	}
 }
 
-// putBack puts a piece back if it may be made again.
-func (b *Batcher) putBack(s *service, it *item) {
+// retry requeues a piece if its attempts and the retry budget allow it.
+func (b *Batcher) retry(s *service, it *item) {
 	if it.group.abandoned {
 		return
 	}
-	if it.group.inputsGone() {
-		it.group.settle(it.slot, Result{Reason: Gone})
+	if it.group.inputsReleased() {
+		it.group.settle(it.index, Result{Reason: Gone})
 		return
 	}
-	b.unfetched(it)
-	if it.tries >= maxTries || !b.budget.Take(s.at.Service, 1) {
-		it.group.settle(it.slot, Result{Reason: Exhausted})
+	b.markNotFetched(it)
+	if it.attempts >= maxAttempts || !b.budget.Take(s.key.Service, 1) {
+		it.group.settle(it.index, Result{Reason: Exhausted})
 		return
 	}
-	b.again.Inc()
+	b.retried.Inc()
 	s.queue.add(it)
 }
--- a/pkg/batch/standin_test.go
+++ b/pkg/batch/standin_test.go
@@ -14,7 +14,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/route"
 )
 
-// call is a call at the stand-in, which the test answers.
+// call is a call to a fake endpoint, which the test answers.
 type call struct {
 	endpoint string
 	pieces   []batch.Piece
@@ -26,8 +26,8 @@
 	outcome batch.CallOutcome
 }
 
-// made answers a call with a result for each piece.
-func (c *call) made() {
+// complete answers a call with a result for each piece.
+func (c *call) complete() {
 	results := make([]batch.Result, len(c.pieces))
 	for i, p := range c.pieces {
 		results[i].Handle = fmt.Sprintf("%s/%s-%d-%d", c.endpoint, p.Request, p.Stage, p.Index)
@@ -35,8 +35,8 @@
 	c.answer <- reply{results, batch.Made}
 }
 
-// endpoints stands in for endpoints, and for what is known of them.
-type endpoints struct {
+// fakeEndpoints implements Caller, Budget and Known for tests.
+type fakeEndpoints struct {
 	calls    chan *call
 	batching route.Batching
 	budget   int
@@ -44,18 +44,18 @@
 	mu    sync.Mutex
 	ready []fleet.Endpoint
 	freed []string
-	// reports are what endpoints tell that answer when asked.
+	// reports holds the reports of endpoints that answer Report.
 	reports map[string]batch.Report
-	// cut are the endpoints that can't be reached, and reaches how often one was tried.
-	cut     map[string]bool
-	reaches int
-	// rests is how much longer endpoints want rest; resting says that some did, so that it costs as
-	// little to ask as it does where none does.
-	rests   map[string]time.Duration
-	resting atomic.Bool
+	// unreachable holds the endpoints that cannot be reached; probes counts the attempts.
+	unreachable map[string]bool
+	probes      int
+	// backoffs holds the requested back-offs. hasBackoffs avoids the lock in benchmarks without
+	// any.
+	backoffs    map[string]time.Duration
+	hasBackoffs atomic.Bool
 }
 
-func (e *endpoints) Run(ctx context.Context, endpoint fleet.Endpoint, pieces []batch.Piece) ([]batch.Result, batch.CallOutcome) {
+func (e *fakeEndpoints) Run(ctx context.Context, endpoint fleet.Endpoint, pieces []batch.Piece) ([]batch.Result, batch.CallOutcome) {
 	c := &call{endpoint.ID, pieces, make(chan reply, 1)}
 	e.calls <- c
 	select {
@@ -66,100 +66,100 @@
 	}
 }
 
-func (e *endpoints) Reach(_ context.Context, endpoint fleet.Endpoint) error {
+func (e *fakeEndpoints) Reach(_ context.Context, endpoint fleet.Endpoint) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.reaches++
-	if e.cut[endpoint.ID] {
-		return errors.New("cut off")
+	e.probes++
+	if e.unreachable[endpoint.ID] {
+		return errors.New("unreachable")
 	}
 	return nil
 }
 
-// Report is silent where an endpoint is cut off.
-func (e *endpoints) Report(ctx context.Context, endpoint fleet.Endpoint) (batch.Report, error) {
+// Report blocks until ctx ends if the endpoint is unreachable.
+func (e *fakeEndpoints) Report(ctx context.Context, endpoint fleet.Endpoint) (batch.Report, error) {
 	e.mu.Lock()
-	cut := e.cut[endpoint.ID]
+	unreachable := e.unreachable[endpoint.ID]
 	report, ok := e.reports[endpoint.ID]
 	e.mu.Unlock()
-	if cut {
+	if unreachable {
 		<-ctx.Done()
 		return batch.Report{}, ctx.Err()
 	}
 	if !ok {
-		return batch.Report{}, errors.New("tells nothing")
+		return batch.Report{}, errors.New("no report")
 	}
 	return report, nil
 }
 
-func (e *endpoints) setCut(id string, cut bool) {
+func (e *fakeEndpoints) setUnreachable(id string, unreachable bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.cut = map[string]bool{id: cut}
+	e.unreachable = map[string]bool{id: unreachable}
 }
 
-func (e *endpoints) Reaches() int {
+func (e *fakeEndpoints) Probes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.reaches
+	return e.probes
 }
 
-func (e *endpoints) Free(_ context.Context, _ fleet.Endpoint, handles []string) error {
+func (e *fakeEndpoints) Free(_ context.Context, _ fleet.Endpoint, handles []string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.freed = append(e.freed, handles...)
 	return nil
 }
 
-func (e *endpoints) Freed() []string {
+func (e *fakeEndpoints) Freed() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string(nil), e.freed...)
 }
 
-func (e *endpoints) Batching(string) *route.Batching { return &e.batching }
+func (e *fakeEndpoints) Batching(string) *route.Batching { return &e.batching }
 
-func (e *endpoints) Ready(string) []fleet.Endpoint {
+func (e *fakeEndpoints) Ready(string) []fleet.Endpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.ready
 }
 
-func (e *endpoints) Endpoint(id string) (fleet.Endpoint, bool) {
+func (e *fakeEndpoints) Endpoint(id string) (fleet.Endpoint, bool) {
 	return fleet.Endpoint{ID: id, FailureDomain: "zone"}, true
 }
 
-func (e *endpoints) Rest(id string) time.Duration {
-	if !e.resting.Load() {
+func (e *fakeEndpoints) Rest(id string) time.Duration {
+	if !e.hasBackoffs.Load() {
 		return 0
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.rests[id]
+	return e.backoffs[id]
 }
 
-// setRest has an endpoint want rest for so much longer.
-func (e *endpoints) setRest(id string, left time.Duration) {
+// setBackoff sets the remaining back-off of an endpoint.
+func (e *fakeEndpoints) setBackoff(id string, left time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.rests == nil {
-		e.rests = map[string]time.Duration{}
+	if e.backoffs == nil {
+		e.backoffs = map[string]time.Duration{}
 	}
-	e.rests[id] = left
-	e.resting.Store(true)
+	e.backoffs[id] = left
+	e.hasBackoffs.Store(true)
 }
 
-func (e *endpoints) Count(string, int) {}
+func (e *fakeEndpoints) Count(string, int) {}
 
-func (e *endpoints) Take(string, int) bool {
+func (e *fakeEndpoints) Take(string, int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.budget--
 	return e.budget >= 0
 }
 
-// requests counts the pieces of each request.
-func requests(pieces []batch.Piece) map[string]int {
+// countByRequest counts the pieces of each request.
+func countByRequest(pieces []batch.Piece) map[string]int {
 	counts := map[string]int{}
 	for _, p := range pieces {
 		counts[p.Request]++
--- a/pkg/batch/worker.go
+++ b/pkg/batch/worker.go
@@ -9,64 +9,63 @@
 )
 
 const (
-	// speedWeight is the weight of a new sample in a worker's smoothed speed.
-	speedWeight = 0.4
-	// slownessHalfLife is the time in which half of a worker's slowness is forgotten.
+	// slownessWeight is the weight of a new sample in a worker's slowness.
+	slownessWeight = 0.4
+	// slownessHalfLife is the half-life with which slowness decays to 1.
 	slownessHalfLife = 3 * time.Second
-	// firstRest and lastRest bound how long a worker that failed gets no calls.
-	firstRest = 200 * time.Millisecond
-	lastRest  = 3 * time.Second
-	// fullRest is how long a worker rests that had no room; one that was full rests so
-	// long at first, twice as long each time in a row, up to lastFullRest.
-	fullRest     = 30 * time.Millisecond
-	lastFullRest = 240 * time.Millisecond
-	// marginStep is by how much the part of the room left free grows with each call for
-	// which there was too little room; marginKept is what a call that went well leaves of it.
-	marginStep = 0.04
-	marginKept = 0.95
-	maxMargin  = 0.4
-	// sharedFactor is by how much a call is longer than expected that waited for others.
-	sharedFactor = 1.4
+	// minFailureBackoff and maxFailureBackoff bound the back-off after failed calls.
+	minFailureBackoff = 200 * time.Millisecond
+	maxFailureBackoff = 3 * time.Second
+	// minFullBackoff is the back-off after a memory shortage and the first one after a rejected
+	// call. It doubles with each consecutive rejection, up to maxFullBackoff.
+	minFullBackoff = 30 * time.Millisecond
+	maxFullBackoff = 240 * time.Millisecond
+	// marginStep is the increase of the margin after each memory shortage. marginDecay is the
+	// factor applied after each successful call.
+	marginStep  = 0.04
+	marginDecay = 0.95
+	maxMargin   = 0.4
+	// sharedThreshold is the ratio to the expected duration above which a call must have waited for
+	// other calls.
+	sharedThreshold = 1.4
 )
 
-// worker is an endpoint as the batcher sees it.
+// worker is the scheduling state of one endpoint.
 type worker struct {
 	endpoint fleet.Endpoint
-	// running is the number of calls under way.
+	// running is the number of calls in flight.
 	running int
-	// busyUntil is when the calls under way are expected to end.
+	// busyUntil is the expected end of the calls in flight.
 	busyUntil time.Time
-	// others are the calls of another planner that are under way there.
-	others othersWork
-	// slowness is the smoothed time of calls, as a multiple of the configured time, as of
-	// learntAt. One that is avoided since it was slow is called again when that is forgotten.
-	slowness float64
-	learntAt time.Time
-	// endedAt is when a call of this planner last ended there as it should.
-	endedAt time.Time
-	// restUntil is until when it gets no calls; rest is how long the last rest was.
-	restUntil time.Time
-	rest      time.Duration
-	// unproved says that its last call was lost or did not reach it: it gets calls again
-	// when it has been reached. proving says that this is being tried.
-	unproved bool
-	proving  bool
-	// held are the results that it keeps, and reserved the room of calls under way.
+	// external is the calls of another planner in flight.
+	external externalCalls
+	// slowness is the moving average of call durations relative to the configured time, as of
+	// slownessTime. It decays so that a slow worker is eventually called again.
+	slowness     float64
+	slownessTime time.Time
+	// lastSuccess is when a call of this planner last succeeded.
+	lastSuccess time.Time
+	// backoffUntil is the end of the current back-off, backoff the length of the last one.
+	backoffUntil time.Time
+	backoff      time.Duration
+	// needsProbe is set after a failed call until a probe succeeds. probing is set during a probe.
+	needsProbe bool
+	probing    bool
+	// held is the stored results, and reserved the memory reserved for calls in flight.
 	held     map[string]heldResult
 	reserved int64
-	// unaccounted is room that others' results took, such as those of an instance that
-	// has died, as of unaccountedAt. They go within the time that results are kept.
-	unaccounted   int64
-	unaccountedAt time.Time
-	// margin is the part of the room that is left free, since results are larger than
-	// they were said to be.
+	// externalBytes is the memory taken by results that this planner does not track, as of
+	// externalBytesAt. They expire within the retention time.
+	externalBytes   int64
+	externalBytesAt time.Time
+	// margin is the fraction of the memory left free because results exceed their declared size.
 	margin float64
-	// shared says that its last call took so long that it must have waited for a call
-	// of another instance, or for one that was given up.
+	// shared is set if the duration of the last call shows that it waited for a call of another
+	// instance or for one that had timed out.
 	shared bool
-	// fresh says that no call to it has been answered yet.
-	fresh bool
-	// idleSince is when it last became free of calls.
+	// unanswered is set until the first call has been answered.
+	unanswered bool
+	// idleSince is when the last call in flight ended.
 	idleSince time.Time
 }
 
@@ -75,19 +74,18 @@
 	until time.Time
 }
 
-// newWorker returns a worker that may be at work for others: for an instance that has died,
-// or one that made calls before.
+// newWorker returns a worker for an endpoint that may have calls of other instances in flight.
 func newWorker(e fleet.Endpoint) *worker {
-	return &worker{endpoint: e, slowness: 1, fresh: true, held: map[string]heldResult{}}
+	return &worker{endpoint: e, slowness: 1, unanswered: true, held: map[string]heldResult{}}
 }
 
-// room returns the bytes free for results.
-func (w *worker) room(now time.Time, batching *route.Batching) int64 {
-	used := w.reserved + w.others.reserved(now) + w.heldBytes(now) + w.othersRoom(now, batching)
+// freeBytes returns the memory available for results.
+func (w *worker) freeBytes(now time.Time, batching *route.Batching) int64 {
+	used := w.reserved + w.external.reserved(now) + w.heldBytes(now) + w.externalBytesLeft(now, batching)
 	return int64(float64(batching.RoomBytes)*(1-w.margin)) - used
 }
 
-// heldBytes is the room of the results that the endpoint keeps.
+// heldBytes returns the memory of the stored results.
 func (w *worker) heldBytes(now time.Time) int64 {
 	bytes := int64(0)
 	for handle, r := range w.held {
@@ -100,109 +98,109 @@
 	return bytes
 }
 
-// othersRoom is the room that results of others still take, which go one by one.
-func (w *worker) othersRoom(now time.Time, batching *route.Batching) int64 {
-	left := batching.Retention - now.Sub(w.unaccountedAt)
-	if w.unaccounted == 0 || left <= 0 {
+// externalBytesLeft returns how much of externalBytes is still in use, assuming that the results
+// expire evenly over the retention time.
+func (w *worker) externalBytesLeft(now time.Time, batching *route.Batching) int64 {
+	left := batching.Retention - now.Sub(w.externalBytesAt)
+	if w.externalBytes == 0 || left <= 0 {
 		return 0
 	}
-	return int64(float64(w.unaccounted) * float64(left) / float64(batching.Retention))
+	return int64(float64(w.externalBytes) * float64(left) / float64(batching.Retention))
 }
 
-// noRoom notes that in a call the endpoint lacked room for results of so many bytes. A
-// little is put down to results being larger than they were said to be, the rest to
-// results of others.
-func (w *worker) noRoom(now time.Time, lacked int64, batching *route.Batching) {
-	w.restUntil = now.Add(fullRest)
+// recordMemoryShortage records that a call lacked memory for missingBytes of results. It attributes
+// up to marginStep to results exceeding their declared size and the rest to results of other
+// planners.
+func (w *worker) recordMemoryShortage(now time.Time, missingBytes int64, batching *route.Batching) {
+	w.backoffUntil = now.Add(minFullBackoff)
 	w.margin = min(maxMargin, w.margin+marginStep)
-	lacked -= int64(marginStep * float64(batching.RoomBytes))
-	if lacked > 0 {
-		w.unaccounted = min(batching.RoomBytes, w.othersRoom(now, batching)+lacked)
-		w.unaccountedAt = now
+	missingBytes -= int64(marginStep * float64(batching.RoomBytes))
+	if missingBytes > 0 {
+		w.externalBytes = min(batching.RoomBytes, w.externalBytesLeft(now, batching)+missingBytes)
+		w.externalBytesAt = now
 	}
 }
 
-// usable tells whether it can take a call now.
-func (w *worker) usable(now time.Time, batching *route.Batching) bool {
-	return !w.unproved && w.running+w.others.running(now) < max(1, batching.Slots) && !now.Before(w.restUntil)
+// available reports whether the worker can take a call.
+func (w *worker) available(now time.Time, batching *route.Batching) bool {
+	return !w.needsProbe && w.running+w.external.running(now) < max(1, batching.Slots) && !now.Before(w.backoffUntil)
 }
 
-// out tells whether its last call failed, and it has not been reached since. One that is
-// only suspected, since another of its failure domain was silent, is not.
-func (w *worker) out() bool { return w.unproved && w.rest > 0 }
+// unreachable reports whether the last call failed and the endpoint has not been reached since.
+// Workers that are only probed because of their failure domain don't count.
+func (w *worker) unreachable() bool { return w.needsProbe && w.backoff > 0 }
 
-// never is a time that no call waits for.
-const never = time.Hour
+// unreachableDelay is the expected duration of a call to an unreachable worker.
+const unreachableDelay = time.Hour
 
-// finish is when a call of the given time would end here, if it began when the calls
-// under way have ended.
-func (w *worker) finish(now time.Time, call time.Duration) time.Time {
-	if w.unproved {
-		return now.Add(never)
+// expectedFinish returns when a call with the given configured time would end if it were queued
+// now.
+func (w *worker) expectedFinish(now time.Time, call time.Duration) time.Time {
+	if w.needsProbe {
+		return now.Add(unreachableDelay)
 	}
-	begin := w.busyAt(now)
-	if w.restUntil.After(begin) {
-		begin = w.restUntil
+	begin := w.expectedIdle(now)
+	if w.backoffUntil.After(begin) {
+		begin = w.backoffUntil
 	}
-	return begin.Add(w.expected(now, call))
+	return begin.Add(w.expectedTime(now, call))
 }
 
-// busyAt is when the calls under way are expected to have ended; now if there are none.
-func (w *worker) busyAt(now time.Time) time.Time {
+// expectedIdle returns the expected end of the calls in flight; now if there are none.
+func (w *worker) expectedIdle(now time.Time) time.Time {
 	until := now
 	if w.running > 0 && w.busyUntil.After(until) {
 		until = w.busyUntil
 	}
-	if w.others.until.After(until) {
-		until = w.others.until
+	if w.external.until.After(until) {
+		until = w.external.until
 	}
 	return until
 }
 
-// expected is the time that a call of the configured time takes here.
-func (w *worker) expected(now time.Time, call time.Duration) time.Duration {
-	return time.Duration(float64(call) * w.slow(now))
+// expectedTime returns the expected duration of a call with the given configured time.
+func (w *worker) expectedTime(now time.Time, call time.Duration) time.Duration {
+	return time.Duration(float64(call) * w.slownessAt(now))
 }
 
-// slow is the slowness at a time: what sets it apart from the configured time is forgotten
-// by half in each slownessHalfLife.
-func (w *worker) slow(now time.Time) float64 {
-	known := math.Exp2(-float64(now.Sub(w.learntAt)) / float64(slownessHalfLife))
-	return 1 + known*(w.slowness-1)
+// slownessAt returns the slowness at a time, decayed towards 1.
+func (w *worker) slownessAt(now time.Time) float64 {
+	weight := math.Exp2(-float64(now.Sub(w.slownessTime)) / float64(slownessHalfLife))
+	return 1 + weight*(w.slowness-1)
 }
 
-// patience is how long a call of the expected time is waited for.
-func (w *worker) patience(expected time.Duration) time.Duration {
-	if w.shared || w.fresh {
-		return time.Duration(sharedOverdueFactor*float64(expected)) + sharedOverdueSlack
+// callTimeout returns the timeout of a call with the given expected duration.
+func (w *worker) callTimeout(expected time.Duration) time.Duration {
+	if w.shared || w.unanswered {
+		return time.Duration(sharedCallTimeoutFactor*float64(expected)) + sharedCallTimeoutSlack
 	}
-	return time.Duration(overdueFactor*float64(expected)) + overdueSlack
+	return time.Duration(callTimeoutFactor*float64(expected)) + callTimeoutSlack
 }
 
-// learn takes in how long a call took that the configuration gives another time.
-func (w *worker) learn(now time.Time, took, configured time.Duration) {
+// recordCallTime updates the slowness with the duration of a successful call.
+func (w *worker) recordCallTime(now time.Time, took, configured time.Duration) {
 	if configured <= 0 {
 		return
 	}
 	ratio := float64(took) / float64(configured)
-	w.slowness, w.learntAt, w.endedAt = w.slow(now), now, now
-	w.shared = ratio > sharedFactor*w.slowness
-	w.margin *= marginKept
-	w.slowness += speedWeight * (ratio - w.slowness)
-	w.rest = 0
-	w.fresh = false
-}
-
-// failed makes the worker rest, longer each time. It gets calls again when it has been
-// reached.
-func (w *worker) failed(now time.Time) {
-	w.unproved = true
-	w.rest = min(lastRest, max(firstRest, 2*w.rest))
-	w.restUntil = now.Add(w.rest)
-}
-
-// full makes a worker rest that took no call, since it works on those of others.
-func (w *worker) full(now time.Time) {
-	w.rest = min(lastFullRest, max(fullRest, 2*w.rest))
-	w.restUntil = now.Add(w.rest)
+	w.slowness, w.slownessTime, w.lastSuccess = w.slownessAt(now), now, now
+	w.shared = ratio > sharedThreshold*w.slowness
+	w.margin *= marginDecay
+	w.slowness += slownessWeight * (ratio - w.slowness)
+	w.backoff = 0
+	w.unanswered = false
+}
+
+// recordFailure starts a back-off that doubles with each consecutive failure. The worker gets calls
+// again after a successful probe.
+func (w *worker) recordFailure(now time.Time) {
+	w.needsProbe = true
+	w.backoff = min(maxFailureBackoff, max(minFailureBackoff, 2*w.backoff))
+	w.backoffUntil = now.Add(w.backoff)
+}
+
+// recordFull starts a back-off after a call was rejected because the endpoint is at capacity.
+func (w *worker) recordFull(now time.Time) {
+	w.backoff = min(maxFullBackoff, max(minFullBackoff, 2*w.backoff))
+	w.backoffUntil = now.Add(w.backoff)
 }
