--- a/pkg/batch/ledger_test.go
+++ b/pkg/batch/ledger_test.go
@@ -161,9 +161,9 @@
 		e.reports["b"] = batch.Report{FreeBytes: 1000}
 		e.setUnreachable("a", true)
 		b := newBatcher()
-		whole2 := b.Capacity(whole).PerSecond
+		fullRate := b.Capacity(whole).PerSecond
 		b.Inspect(context.Background(), []batch.Queue{whole})
-		Expect(b.Capacity(whole).PerSecond).To(BeNumerically("~", whole2/2, 0.1))
+		Expect(b.Capacity(whole).PerSecond).To(BeNumerically("~", fullRate/2, 0.1))
 		submit(b, "r1", 8)
 		Expect(nextCall().endpoint).To(Equal("b"))
 		expectNoCall()
