--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -22,7 +22,7 @@
 	RunSpecs(t, "placement")
 }
 
-func want(model string, replicas uint32) *config.Placement {
+func placementOf(model string, replicas uint32) *config.Placement {
 	return &config.Placement{Name: model, Service: "engine", Model: model, Replicas: replicas}
 }
 
@@ -34,8 +34,8 @@
 	return o
 }
 
-// text gives orders as +model@endpoint and -model@endpoint.
-func text(orders []placement.Order) []string {
+// formatOrders formats orders as +model@endpoint and -model@endpoint.
+func formatOrders(orders []placement.Order) []string {
 	var list []string
 	for _, o := range orders {
 		sign := "-"
@@ -49,17 +49,17 @@
 
 var _ = DescribeTable("the plan",
 	func(placements []*config.Placement, endpoints []placement.Observed, orders ...string) {
-		Expect(append([]string{}, text(placement.Plan(placements, endpoints))...)).To(Equal(append([]string{}, orders...)))
+		Expect(append([]string{}, formatOrders(placement.Plan(placements, endpoints))...)).To(Equal(append([]string{}, orders...)))
 	},
-	Entry("loads what is lacking on the emptiest", []*config.Placement{want("m", 2)}, []placement.Observed{observed("a", "n"), observed("b"), observed("c")}, "+m@b", "+m@c", "-n@a"),
-	Entry("changes nothing that is as wanted", []*config.Placement{want("m", 1)}, []placement.Observed{observed("a", "m"), observed("b")}),
-	Entry("loads on no more than there are", []*config.Placement{want("m", 3)}, []placement.Observed{observed("a")}, "+m@a"),
-	Entry("loads first what lacks most", []*config.Placement{want("m", 2), want("n", 2)}, []placement.Observed{observed("a", "m"), observed("b")}, "+n@b", "+n@a", "+m@b"),
-	Entry("unloads what is held too often, but never the last", []*config.Placement{want("m", 1)}, []placement.Observed{observed("a", "m"), observed("b", "m")}, "-m@a"),
-	Entry("leaves services without placements alone", nil, []placement.Observed{observed("a", "m")}),
+	Entry("loads missing replicas on the endpoints with the fewest models", []*config.Placement{placementOf("m", 2)}, []placement.Observed{observed("a", "n"), observed("b"), observed("c")}, "+m@b", "+m@c", "-n@a"),
+	Entry("makes no changes in the desired state", []*config.Placement{placementOf("m", 1)}, []placement.Observed{observed("a", "m"), observed("b")}),
+	Entry("loads no more replicas than there are endpoints", []*config.Placement{placementOf("m", 3)}, []placement.Observed{observed("a")}, "+m@a"),
+	Entry("loads the placement with the fewest replicas first", []*config.Placement{placementOf("m", 2), placementOf("n", 2)}, []placement.Observed{observed("a", "m"), observed("b")}, "+n@b", "+n@a", "+m@b"),
+	Entry("unloads surplus replicas but never the last", []*config.Placement{placementOf("m", 1)}, []placement.Observed{observed("a", "m"), observed("b", "m")}, "-m@a"),
+	Entry("ignores services without placements", nil, []placement.Observed{observed("a", "m")}),
 )
 
-// fakeLease is held until a time.
+// fakeLease is held until a fixed time.
 type fakeLease struct {
 	clock clockwork.Clock
 	mu    sync.Mutex
@@ -74,7 +74,7 @@
 
 func (l *fakeLease) TTL() time.Duration { return 10 * time.Second }
 
-// fakeEngine keeps what it is ordered, and the tokens of the orders.
+// fakeEngine records orders and their fencing tokens.
 type fakeEngine struct {
 	mu     sync.Mutex
 	models map[string][]placement.Model
@@ -117,7 +117,7 @@
 			Endpoints: func() []placement.Observed {
 				return []placement.Observed{{Endpoint: "a", Address: "a", Service: "engine", ChecksTokens: checks}}
 			},
-			Placements:     func() []*config.Placement { return []*config.Placement{want("m", 1), want("n", 1)} },
+			Placements:     func() []*config.Placement { return []*config.Placement{placementOf("m", 1), placementOf("n", 1)} },
 			OrderTimeout:   20 * time.Second,
 			LoadsPerMinute: 60,
 			Clock:          clock,
@@ -126,7 +126,7 @@
 		})
 	})
 
-	It("orders with the token, and at the weight store's rate", func() {
+	It("sends the fencing token and limits the rate of loads", func() {
 		runner.Step(context.Background())
 		Expect(engine.tokens).To(Equal([]int64{7}))
 		clock.Advance(time.Second)
@@ -134,13 +134,13 @@
 		Expect(engine.tokens).To(Equal([]int64{7, 7}))
 	})
 
-	It("gives no order when a pause outlasts the lease between reading and ordering", func() {
+	It("sends no order if the lease expires after reading", func() {
 		engine.before = func() { clock.Advance(9 * time.Second) }
 		runner.Step(context.Background())
 		Expect(engine.tokens).To(BeEmpty())
 	})
 
-	It("orders nothing at an endpoint that does not check tokens until no earlier order can come", func() {
+	It("sends no order to an endpoint that does not check tokens while an earlier one may be in flight", func() {
 		checks = false
 		runner.Step(context.Background())
 		Expect(engine.tokens).To(BeEmpty())
--- a/pkg/placement/plan.go
+++ b/pkg/placement/plan.go
@@ -1,5 +1,5 @@
-// Package placement brings the models, adapters and versions that operators want onto
-// endpoints, by orders that only the holder of the failure domain's lease gives.
+// Package placement loads and unloads models, adapters and versions on endpoints as configured by
+// operators. Only the holder of a failure domain's lease sends orders.
 package placement
 
 import (
@@ -9,32 +9,31 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
 )
 
-// Model is what an endpoint can hold.
+// Model identifies a model that an endpoint can hold.
 type Model struct {
 	Name    string
 	Adapter string
 	Version string
 }
 
-// ModelOf returns the model that a placement wants.
+// ModelOf returns the model of a placement.
 func ModelOf(p *config.Placement) Model {
 	return Model{Name: p.Model, Adapter: p.Adapter, Version: p.Version}
 }
 
-// Observed is what an endpoint holds, as read from it.
+// Observed is the state of an endpoint, as read from it.
 type Observed struct {
 	Endpoint string
 	Address  string
 	Service  string
-	// ChecksTokens says that the endpoint refuses orders with an old token.
+	// ChecksTokens is set if the endpoint rejects orders with an outdated fencing token.
 	ChecksTokens bool
 	Models       []Model
 }
 
 func (o *Observed) holds(m Model) bool { return slices.Contains(o.Models, m) }
 
-// Order asks one endpoint to hold a model, or not to hold it. It names the wanted
-// state, and so can be given again without harm.
+// Order asks one endpoint to load or unload a model. It names the desired state and is idempotent.
 type Order struct {
 	Endpoint     string
 	Address      string
@@ -44,11 +43,10 @@
 	Load bool
 }
 
-// Plan returns the orders that bring the endpoints of one failure domain to what the
-// placements want: loads first, those of the placement that lacks the largest part of
-// its replicas before others, each on the endpoint that holds least; then unloads of
-// what no placement wants there. An endpoint that is the last to hold a wanted model
-// is never told to unload it.
+// Plan returns the orders that bring the endpoints of a failure domain to the desired state. Loads
+// come first, ordered by the fraction of replicas that exist, each on the endpoint with the fewest
+// models. Unloads of unwanted models follow; the last endpoint with a wanted model is never told to
+// unload it.
 func Plan(placements []*config.Placement, endpoints []Observed) []Order {
 	state := slices.Clone(endpoints)
 	for i := range state {
@@ -65,12 +63,12 @@
 	return append(orders, unloads(placements, state)...)
 }
 
-// coverage is the part of a placement's replicas that exist.
+// coverage returns the fraction of a placement's replicas that exist.
 func coverage(p *config.Placement, state []Observed) float64 {
-	return float64(holders(p, state)) / float64(max(p.Replicas, 1))
+	return float64(countHolders(p, state)) / float64(max(p.Replicas, 1))
 }
 
-func holders(p *config.Placement, state []Observed) int {
+func countHolders(p *config.Placement, state []Observed) int {
 	n := 0
 	for i := range state {
 		if state[i].Service == p.Service && state[i].holds(ModelOf(p)) {
@@ -80,11 +78,11 @@
 	return n
 }
 
-// loads orders what a placement lacks, and notes it in the state.
+// loads returns the orders for the missing replicas of a placement and applies them to the state.
 func loads(p *config.Placement, state []Observed) []Order {
 	var orders []Order
-	for range int(p.Replicas) - holders(p, state) {
-		target := emptiest(p, state)
+	for range int(p.Replicas) - countHolders(p, state) {
+		target := leastLoaded(p, state)
 		if target == nil {
 			break
 		}
@@ -94,9 +92,9 @@
 	return orders
 }
 
-// emptiest returns the endpoint of the placement's service that holds least and not
-// its model; nil if all hold it.
-func emptiest(p *config.Placement, state []Observed) *Observed {
+// leastLoaded returns the endpoint of the placement's service that holds the fewest models and not
+// its own; nil if all hold it.
+func leastLoaded(p *config.Placement, state []Observed) *Observed {
 	var best *Observed
 	for i := range state {
 		o := &state[i]
@@ -110,14 +108,14 @@
 	return best
 }
 
-// unloads orders away what no placement wants on a service that has placements, and
-// what is held more often than wanted.
+// unloads returns the orders to unload unwanted models and surplus replicas on services that have
+// placements.
 func unloads(placements []*config.Placement, state []Observed) []Order {
 	var orders []Order
 	for i := range state {
 		o := &state[i]
 		for _, m := range slices.Clone(o.Models) {
-			if !surplus(placements, state, o, m) {
+			if !isSurplus(placements, state, o, m) {
 				continue
 			}
 			o.Models = slices.DeleteFunc(o.Models, func(held Model) bool { return held == m })
@@ -127,7 +125,7 @@
 	return orders
 }
 
-func surplus(placements []*config.Placement, state []Observed, o *Observed, m Model) bool {
+func isSurplus(placements []*config.Placement, state []Observed, o *Observed, m Model) bool {
 	managed := false
 	for _, p := range placements {
 		if p.Service != o.Service {
@@ -135,7 +133,7 @@
 		}
 		managed = true
 		if ModelOf(p) == m {
-			return holders(p, state) > int(p.Replicas)
+			return countHolders(p, state) > int(p.Replicas)
 		}
 	}
 	return managed
--- a/pkg/placement/runner.go
+++ b/pkg/placement/runner.go
@@ -17,65 +17,63 @@
 )
 
 const (
-	// readsAtOnce bounds the endpoints that are read at a time.
-	readsAtOnce = 16
-	// readTimeout bounds one reading.
-	readTimeout = time.Second
+	// maxConcurrentReads bounds the endpoints that are read concurrently.
+	maxConcurrentReads = 16
+	readTimeout        = time.Second
 )
 
-// Engine takes orders and tells what it holds.
+// Engine reads and changes the models of endpoints.
 type Engine interface {
-	// Models returns what the endpoint holds.
+	// Models returns the models that the endpoint holds.
 	Models(ctx context.Context, address string) ([]Model, error)
-	// Order has the endpoint hold a model, or not. An endpoint that checks tokens
-	// refuses with Conflict if it has seen a higher one. Called again with the same
-	// order it does no harm.
+	// Order loads or unloads a model. An endpoint that checks fencing tokens returns Conflict if it
+	// has seen a higher one. Orders are idempotent.
 	Order(ctx context.Context, address string, token int64, order Order) error
 }
 
-// Lease is the right to give orders.
+// Lease is the exclusive right to send orders.
 type Lease interface {
 	Held() (lease.Holding, bool)
 	TTL() time.Duration
 }
 
-// Options of a Runner.
+// Options configures a Runner.
 type Options struct {
 	Lease  Lease
 	Engine Engine
 	// Endpoints returns the live endpoints of the failure domain, without Models.
 	Endpoints func() []Observed
-	// Placements returns what is wanted.
+	// Placements returns the configured placements.
 	Placements func() []*config.Placement
-	// Period is the time between readings of all endpoints.
+	// Period is the interval between reads of all endpoints.
 	Period time.Duration
 	// OrderTimeout bounds one order; no order is in flight for longer.
 	OrderTimeout time.Duration
-	// LoadsPerMinute bounds the loads, for the weight store's sake.
+	// LoadsPerMinute limits the load on the weight store.
 	LoadsPerMinute float64
 	Clock          clockwork.Clock
 	Ring           *timeline.Ring
 	Log            *logrus.Entry
 }
 
-// Runner reads what the endpoints hold and gives orders while the lease is held.
+// Runner reads the state of endpoints and sends orders while the lease is held.
 type Runner struct {
 	Options
 	loads *rate.Limiter
-	// token is of the holding seen last.
+	// token is the fencing token of the last holding.
 	token int64
 }
 
-// NewRunner returns a runner; Run must be called for it to work.
+// NewRunner returns a runner; call Run to start it.
 func NewRunner(o Options) *Runner {
 	return &Runner{Options: o, loads: rate.NewLimiter(rate.Limit(o.LoadsPerMinute/60), 1)}
 }
 
-// Run works until ctx ends.
+// Run runs until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if holding, held := r.Lease.Held(); held && len(r.Placements()) > 0 {
-			r.noteHolding(holding)
+			r.recordHolding(holding)
 			r.Step(ctx)
 		}
 		select {
@@ -85,8 +83,8 @@
 	}
 }
 
-// noteHolding records that this instance has become the holder.
-func (r *Runner) noteHolding(holding lease.Holding) {
+// recordHolding records in the timeline that this instance has acquired the lease.
+func (r *Runner) recordHolding(holding lease.Holding) {
 	if holding.Token == r.token {
 		return
 	}
@@ -94,7 +92,7 @@
 	r.Ring.Add(timeline.Event{Kind: timeline.LeaseTaken, Detail: "placement lease, token " + strconv.FormatInt(holding.Token, 10)})
 }
 
-// Step reads all endpoints once and gives the orders that follow, one at a time.
+// Step reads all endpoints once and sends the resulting orders sequentially.
 func (r *Runner) Step(ctx context.Context) {
 	for _, order := range Plan(r.Placements(), r.read(ctx)) {
 		if ctx.Err() != nil {
@@ -103,24 +101,24 @@
 		if order.Load && !r.loads.AllowN(r.Clock.Now(), 1) {
 			continue
 		}
-		if err := r.give(ctx, order); err != nil {
-			r.note(order, err)
+		if err := r.send(ctx, order); err != nil {
+			r.record(order, err)
 			if problem.KindOf(err) == problem.Denied {
 				return
 			}
 			continue
 		}
-		r.note(order, nil)
+		r.record(order, nil)
 	}
 }
 
-// read asks all endpoints what they hold; those that do not answer are left out, and
-// so neither counted as holding anything nor given orders.
+// read reads the models of all endpoints. Those that do not answer are left out, so they neither
+// count as holding a model nor get orders.
 func (r *Runner) read(ctx context.Context) []Observed {
 	endpoints := r.Endpoints()
 	answered := make([]bool, len(endpoints))
 	var group errgroup.Group
-	group.SetLimit(readsAtOnce)
+	group.SetLimit(maxConcurrentReads)
 	for i := range endpoints {
 		group.Go(func() error {
 			ctx, cancel := context.WithTimeout(ctx, readTimeout)
@@ -141,17 +139,17 @@
 	return read
 }
 
-// give gives one order, if the lease is held at the last moment. An endpoint that does
-// not check tokens gets one only once no order of an earlier holder can come: after
-// the earlier lease and the longest order. The order must end before the lease does.
-func (r *Runner) give(ctx context.Context, order Order) error {
+// send sends one order if the lease is still held. Endpoints that do not check fencing tokens get
+// no order until those of an earlier holder can no longer be in flight. The order must end before
+// the lease expires.
+func (r *Runner) send(ctx context.Context, order Order) error {
 	holding, held := r.Lease.Held()
 	if !held {
-		return problem.New(problem.Denied, "the next holder goes on", "the lease is no longer held")
+		return problem.New(problem.Denied, "the next lease holder continues", "the placement lease is no longer held")
 	}
 	now := r.Clock.Now()
-	if waited := now.Sub(holding.Since); !order.ChecksTokens && waited < r.quarantine() {
-		return problem.New(problem.Unavailable, "it is given later", "endpoint %s does not check tokens, and an earlier holder's order may still come for %s", order.Endpoint, r.quarantine()-waited)
+	if waited := now.Sub(holding.Since); !order.ChecksTokens && waited < r.fencingDelay() {
+		return problem.New(problem.Unavailable, "the order is retried later", "endpoint %s does not check fencing tokens, and an order of an earlier lease holder may be in flight for another %s", order.Endpoint, r.fencingDelay()-waited)
 	}
 	left := min(r.OrderTimeout, holding.Until.Sub(now))
 	ctx, cancel := context.WithTimeout(ctx, left)
@@ -159,11 +157,11 @@
 	return r.Engine.Order(ctx, order.Address, holding.Token, order)
 }
 
-// quarantine is how long a new holder gives no order to endpoints that do not check
-// tokens.
-func (r *Runner) quarantine() time.Duration { return r.Lease.TTL() + r.OrderTimeout }
+// fencingDelay is the time from acquiring the lease until no order of an earlier holder can be in
+// flight.
+func (r *Runner) fencingDelay() time.Duration { return r.Lease.TTL() + r.OrderTimeout }
 
-func (r *Runner) note(order Order, err error) {
+func (r *Runner) record(order Order, err error) {
 	verb := "unload "
 	if order.Load {
 		verb = "load "
