--- a/pkg/route/config.go
+++ b/pkg/route/config.go
@@ -1,130 +1,133 @@
-// Package route holds the configuration of opaque HTTP traffic: which service answers
-// which host and path, what may be repeated, how long it may take, and whose keys are
-// accepted. A Table is immutable; a new configuration makes a new one.
+// Package route holds the routing configuration: which service answers a host and path, which
+// requests may be retried, their timeouts, and the accepted API keys. A Table is immutable; a new
+// configuration creates a new one.
 package route
 
 import "time"
 
-// Kind states what may be repeated of a route's requests.
+// Kind states whether the requests of a route may be retried.
 type Kind string
 
 // The kinds.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
-	// AtMostOnce requests may run once for each client attempt.
+	// AtMostOnce requests run at most once per client attempt.
 	AtMostOnce Kind = "at_most_once"
-	// Stream requests are answered by a series of events. They run at most once
-	// unless the route allows them to be resumed.
+	// Stream requests are answered by a series of events. They run at most once unless the route
+	// allows resumption.
 	Stream Kind = "stream"
 )
 
-// Target is one service of a split, with its weight.
+// Target is a service and its weight in a traffic split.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Stage is work on pieces that has to be done before a request can run.
+// Stage is work that must be completed before a request can run.
 type Stage struct {
-	// Service whose endpoints make the pieces.
+	// Service is the service whose endpoints process the pieces.
 	Service string
-	// After names the stages, by index, whose results this one reads.
+	// After lists the indices of the stages whose results this stage reads.
 	After []int
 	// Bytes is the approximate size of one result.
 	Bytes int64
 }
 
-// Route says how the requests under one prefix of one host are answered.
+// Route configures the requests under one path prefix of a host.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a request is held.
+	// Timeout bounds the total time of a request.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to a stream's first event.
+	// Objective is the latency objective until the response, or until the first event of a stream.
 	Objective time.Duration
-	// MaxPause is the longest pause between events of a stream in time; 0: none set.
+	// MaxPause is the longest interval between stream events that meets the objective; 0 means
+	// unlimited.
 	MaxPause time.Duration
-	// Priority is the rank; 0 is the highest.
+	// Priority is the priority of the requests; 0 is the highest.
 	Priority int
-	// Targets has one entry, or several of a split.
+	// Targets has one entry, or several for a traffic split.
 	Targets []Target
-	// MaxAttempts bounds the endpoints that one client attempt is sent to.
+	// MaxAttempts bounds the number of endpoints tried for one client attempt.
 	MaxAttempts int
 	Stages      []Stage
-	// Regions are those in which its requests may be served, and kept; none: any.
+	// Regions lists the regions in which the requests may be served and stored; empty means any.
 	Regions []string
-	// Public routes need no key.
+	// Public routes require no API key.
 	Public bool
-	// Affinity says that requests name the parts of their prompts.
+	// Affinity is set if requests carry prefix hashes of their prompts.
 	Affinity bool
-	// Resume says that a stream may be taken up at another endpoint.
+	// Resume is set if a stream may be resumed at another endpoint.
 	Resume bool
 }
 
-// Repeatable tells whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resume
 }
 
-// Batching says how the endpoints of a service take pieces.
+// Batching describes how the endpoints of a service process pieces.
 type Batching struct {
-	// Slots is how many calls an endpoint works on at once, Queue how many may wait.
+	// Slots is the number of calls that an endpoint runs concurrently. Queue is the length of its
+	// queue.
 	Slots int
 	Queue int
 	// Size bounds the pieces of one call.
 	Size int
-	// PerCall and PerPiece are the approximate times of a call and of each piece in it.
+	// The approximate duration of a call is PerCall plus PerPiece for each piece.
 	PerCall  time.Duration
 	PerPiece time.Duration
-	// RoomBytes is the memory for results at one endpoint.
+	// RoomBytes is the result memory of one endpoint.
 	RoomBytes int64
-	// Retention is how long a result is kept that nobody frees.
+	// Retention is how long a result is kept if it is not freed.
 	Retention time.Duration
 }
 
-// CallTime is the approximate time of a call with n pieces.
+// CallTime returns the approximate duration of a call with n pieces.
 func (b *Batching) CallTime(n int) time.Duration {
 	return b.PerCall + time.Duration(n)*b.PerPiece
 }
 
-// Engine says what a model engine of a service holds.
+// Engine describes the capacity of a model engine.
 type Engine struct {
-	// Slots is how many requests run at once.
+	// Slots is the number of requests that run concurrently.
 	Slots int
-	// Tokens is the memory for running requests and kept prompt parts.
+	// Tokens is the memory, in tokens, for running requests and cached prompt prefixes.
 	Tokens int64
 }
 
-// Service is a group of endpoints that do the same work.
+// Service is a group of interchangeable endpoints.
 type Service struct {
 	Name string
-	// HealthPath is asked by health checks.
+	// HealthPath is the path of the health check.
 	HealthPath string
 	// MaxConnections bounds the connections to one endpoint from all callers.
 	MaxConnections int
-	// ColdPerSecond is how many requests a second a cold endpoint bears, from all callers; 0: as many
-	// as a warm one.
+	// ColdPerSecond is the request rate that a cold endpoint sustains, from all callers; 0 means
+	// the same as a warm one.
 	ColdPerSecond float64
-	// Batching is set for services that take pieces, Engine for model engines.
+	// Batching is set for services that process pieces, Engine for model engines.
 	Batching *Batching
 	Engine   *Engine
 }
 
-// Organisation is a group of callers with keys of their own.
+// Organisation is a group of callers with their own API keys.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Regions are those in which its requests may be served, and kept, of those that their route allows; none: any.
+	// Regions restricts the regions of a route further for the requests of the organisation; empty
+	// means no restriction.
 	Regions []string
-	// Priority goes before the route's, if set.
+	// Priority, if set, overrides that of the route.
 	Priority *int
 }
 
-// Limits bound what a client may send.
+// Limits bounds the size and duration of client requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -132,11 +135,11 @@
 	IdleTimeout   time.Duration
 }
 
-// Config is a whole configuration, as an operator gives it.
+// Config is a complete configuration.
 type Config struct {
-	// Version is the operator's number; it rises.
+	// Version is set by the operator and increases.
 	Version uint64
-	// Revision is the source's number of the change; it rises with each version.
+	// Revision is the revision at the configuration source; it increases with each version.
 	Revision      uint64
 	Routes        []Route
 	Services      []Service
--- a/pkg/route/regions.go
+++ b/pkg/route/regions.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Allowed returns the regions in which a request of a route and an organisation may be served and what belongs to it
-// kept, and whether they are limited: an organisation's limit the route's further. The organisation may be nil.
+// Allowed returns the regions in which a request may be served and its data stored, and whether
+// they are limited. The organisation may restrict the regions of the route further; it may be nil.
 func Allowed(r *Route, o *Organisation) (regions []string, limited bool) {
 	switch {
 	case o == nil || len(o.Regions) == 0:
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -47,7 +47,7 @@
 		Expect(name("x.example", "/a/")).To(BeEmpty())
 	})
 
-	It("splits by weight", func() {
+	It("splits traffic by weight", func() {
 		r := route.Route{Targets: []route.Target{{"s", 90}, {"t", 10}, {"u", 0}}}
 		counts := map[string]int{}
 		for n := range uint64(1000) {
@@ -56,7 +56,7 @@
 		Expect(counts).To(Equal(map[string]int{"s": 900, "t": 100}))
 	})
 
-	It("needs keys only where there are organisations and the route is not public", func() {
+	It("requires keys only if there are organisations and the route is not public", func() {
 		open := compile(route.Route{Name: "r", Host: "h", Prefix: "/", Targets: target})
 		Expect(open.NeedsKey(open.Route("h", "/"))).To(BeFalse())
 		table, err := route.Compile(route.Config{
@@ -71,7 +71,7 @@
 		Expect(table.Organisation("")).To(BeNil())
 	})
 
-	DescribeTable("is refused, with every fault named",
+	DescribeTable("rejects an invalid configuration and lists every fault",
 		func(r route.Route, fault string) {
 			r.Name = "bad"
 			_, err := route.Compile(route.Config{Version: 7, Routes: []route.Route{r}, Services: services})
@@ -81,11 +81,11 @@
 		Entry("prefix", route.Route{Prefix: "a", Targets: target}, "slash"),
 		Entry("no service", route.Route{Prefix: "/"}, "names no service"),
 		Entry("unknown service", route.Route{Prefix: "/", Targets: []route.Target{{"x", 1}}}, `service "x"`),
-		Entry("stage of a service that takes no pieces", route.Route{Prefix: "/", Targets: target, Stages: []route.Stage{{Service: "s"}}}, "takes no pieces"),
+		Entry("stage of a service that does not process pieces", route.Route{Prefix: "/", Targets: target, Stages: []route.Stage{{Service: "s"}}}, "does not process pieces"),
 		Entry("stage that reads itself", route.Route{Prefix: "/", Targets: target, Stages: []route.Stage{{Service: "p", After: []int{0}}}}, "does not come before"),
 	)
 
-	It("knows what may be repeated", func() {
+	It("reports which requests may be retried", func() {
 		Expect((&route.Route{Kind: route.Idempotent}).Repeatable()).To(BeTrue())
 		Expect((&route.Route{Kind: route.AtMostOnce}).Repeatable()).To(BeFalse())
 		Expect((&route.Route{Kind: route.Stream}).Repeatable()).To(BeFalse())
--- a/pkg/route/table.go
+++ b/pkg/route/table.go
@@ -10,30 +10,29 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
-// Table answers look-ups in one configuration. It is immutable and safe for
-// concurrent use.
+// Table answers lookups in one configuration. It is immutable and safe for concurrent use.
 type Table struct {
 	Version  uint64
 	Revision uint64
 	Limits   Limits
-	// keyed says that the configuration has organisations, so that routes which
-	// are not public need a key.
-	keyed    bool
-	hosts    map[string][]*Route
-	services map[string]*Service
-	keys     map[string]*Organisation
+	// hasOrganisations is set if the configuration has organisations, so that non-public routes
+	// require an API key.
+	hasOrganisations bool
+	hosts            map[string][]*Route
+	services         map[string]*Service
+	keys             map[string]*Organisation
 }
 
-// Compile checks a configuration and makes its table. The error names every fault.
+// Compile validates a configuration and returns its table. The error lists every fault.
 func Compile(config Config) (*Table, error) {
 	t := &Table{
-		Version:  config.Version,
-		Revision: config.Revision,
-		Limits:   config.Limits,
-		keyed:    len(config.Organisations) > 0,
-		hosts:    map[string][]*Route{},
-		services: map[string]*Service{},
-		keys:     map[string]*Organisation{},
+		Version:          config.Version,
+		Revision:         config.Revision,
+		Limits:           config.Limits,
+		hasOrganisations: len(config.Organisations) > 0,
+		hosts:            map[string][]*Route{},
+		services:         map[string]*Service{},
+		keys:             map[string]*Organisation{},
 	}
 	for i := range config.Services {
 		t.services[config.Services[i].Name] = &config.Services[i]
@@ -41,7 +40,7 @@
 	var faults []string
 	for i := range config.Routes {
 		r := &config.Routes[i]
-		faults = append(faults, t.routeFaults(r)...)
+		faults = append(faults, t.validateRoute(r)...)
 		host := strings.ToLower(r.Host)
 		t.hosts[host] = append(t.hosts[host], r)
 	}
@@ -51,7 +50,7 @@
 		}
 	}
 	if len(faults) > 0 {
-		p := problem.New(problem.Invalid, "correct each field named; the last good version stays in force", "configuration version %d is not valid", config.Version)
+		p := problem.New(problem.Invalid, "correct the listed fields; the last valid version remains in force", "configuration version %d is not valid", config.Version)
 		p.Faults = faults
 		return nil, p
 	}
@@ -61,7 +60,7 @@
 	return t, nil
 }
 
-func (t *Table) routeFaults(r *Route) []string {
+func (t *Table) validateRoute(r *Route) []string {
 	var faults []string
 	add := func(format string, args ...any) {
 		faults = append(faults, fmt.Sprintf("route %q: ", r.Name)+fmt.Sprintf(format, args...))
@@ -70,7 +69,7 @@
 		add("prefix %q does not begin and end with a slash", r.Prefix)
 	}
 	if len(r.Targets) == 0 {
-		add("it names no service")
+		add("names no service")
 	}
 	for _, target := range r.Targets {
 		if t.services[target.Service] == nil {
@@ -80,7 +79,7 @@
 	for i, stage := range r.Stages {
 		service := t.services[stage.Service]
 		if service == nil || service.Batching == nil {
-			add("stage %d: service %q takes no pieces", i, stage.Service)
+			add("stage %d: service %q does not process pieces", i, stage.Service)
 		}
 		for _, before := range stage.After {
 			if before < 0 || before >= i {
@@ -91,8 +90,7 @@
 	return faults
 }
 
-// Route returns the route of a request: of those of its host, the one with the longest
-// prefix that begins the path. It returns nil if there is none.
+// Route returns the route of the host with the longest prefix matching the path, or nil.
 func (t *Table) Route(host, path string) *Route {
 	for _, r := range t.hosts[hostName(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -112,17 +110,16 @@
 // Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services returns all services.
+// Services returns all services by name.
 func (t *Table) Services() map[string]*Service { return t.services }
 
-// Organisation returns whose key it is, or nil.
+// Organisation returns the organisation that an API key belongs to, or nil.
 func (t *Table) Organisation(key string) *Organisation { return t.keys[key] }
 
-// NeedsKey tells whether requests of a route must carry a key.
-func (t *Table) NeedsKey(r *Route) bool { return t.keyed && !r.Public }
+// NeedsKey reports whether requests of a route require an API key.
+func (t *Table) NeedsKey(r *Route) bool { return t.hasOrganisations && !r.Public }
 
-// Target picks the service of a request. The number chooses among a split's services
-// by weight, and may be any hash of the request.
+// Target picks a service by weight. The number may be any hash of the request.
 func (r *Route) Target(number uint64) string {
 	total := 0
 	for _, target := range r.Targets {
