--- a/pkg/batch/batch.go
+++ b/pkg/batch/batch.go
@@ -169,8 +169,8 @@
 	Take(service string, n int) bool
 }
 
-// Known provides the configuration and state of services and endpoints.
-type Known interface {
+// Registry provides the configuration and state of services and endpoints.
+type Registry interface {
 	// Batching returns the batching parameters of a service, or nil.
 	Batching(service string) *route.Batching
 	// Ready returns the endpoints of a service that accept new work.
--- a/pkg/batch/batcher.go
+++ b/pkg/batch/batcher.go
@@ -40,7 +40,7 @@
 // Batcher schedules the pieces of all services. It is safe for concurrent use.
 type Batcher struct {
 	caller   Caller
-	registry Known
+	registry Registry
 	budget   Budget
 	clock    clockwork.Clock
 	log      *logrus.Entry
@@ -79,7 +79,7 @@
 const batchSizeWeight = 0.1
 
 // New returns an idle batcher. It registers its counters in set.
-func New(caller Caller, known Known, budget Budget, clock clockwork.Clock, set *metrics.Set, log *logrus.Entry) *Batcher {
+func New(caller Caller, known Registry, budget Budget, clock clockwork.Clock, set *metrics.Set, log *logrus.Entry) *Batcher {
 	return &Batcher{
 		caller:       caller,
 		registry:     known,
