--- a/pkg/batch/batch.go
+++ b/pkg/batch/batch.go
@@ -141,8 +141,8 @@
 	NotSent
 	// NotRun means that the endpoint rejected the call.
 	NotRun
-	// Wrong means that the address belongs to a different endpoint.
-	Wrong
+	// WrongEndpoint means that the address belongs to a different endpoint.
+	WrongEndpoint
 	// Lost means that the call may have run but its response was lost.
 	Lost
 	// Barred means that the call was not sent because the endpoint must not be called at present.
--- a/pkg/batch/batch_test.go
+++ b/pkg/batch/batch_test.go
@@ -124,7 +124,7 @@
 		Entry("a call that was not sent", batch.NotSent),
 		Entry("a call that was rejected", batch.NotRun),
 		Entry("a call that was lost", batch.Lost),
-		Entry("a call to an address that belongs to another endpoint", batch.Wrong),
+		Entry("a call to an address that belongs to another endpoint", batch.WrongEndpoint),
 		Entry("a call that was barred", batch.Barred),
 	)
 
