--- a/pkg/batch/batch.go
+++ b/pkg/batch/batch.go
@@ -117,8 +117,8 @@
 	Late Reason = "late"
 	// Gone means that an input no longer exists.
 	Gone Reason = "gone"
-	// NoRoom means that the endpoint had no memory for the result.
-	NoRoom Reason = "no_room"
+	// NoMemory means that the endpoint had no memory for the result.
+	NoMemory Reason = "no_room"
 	// Failed means that the endpoint failed.
 	Failed Reason = "failed"
 	// Exhausted means that the piece failed and has no retries left.
--- a/pkg/batch/batch_test.go
+++ b/pkg/batch/batch_test.go
@@ -151,7 +151,7 @@
 		},
 		Entry("a call that the endpoint rejected", reply{nil, batch.NotRun}),
 		Entry("a call that was barred", reply{nil, batch.Barred}),
-		Entry("a call for which it had no memory", reply{[]batch.Result{{Reason: batch.NoRoom}, {Reason: batch.NoRoom}}, batch.Made}),
+		Entry("a call for which it had no memory", reply{[]batch.Result{{Reason: batch.NoMemory}, {Reason: batch.NoMemory}}, batch.Made}),
 	)
 
 	It("does not probe an endpoint whose calls are barred", func() {
@@ -204,7 +204,7 @@
 			list[i].Bytes = 400
 		}
 		done := submit(list, nil)
-		nextCall().answer <- reply{[]batch.Result{{Handle: "h1"}, {Reason: batch.NoRoom}, {Reason: batch.NoRoom}, {Reason: batch.NoRoom}}, batch.Made}
+		nextCall().answer <- reply{[]batch.Result{{Handle: "h1"}, {Reason: batch.NoMemory}, {Reason: batch.NoMemory}, {Reason: batch.NoMemory}}, batch.Made}
 		advanceUntilCall()
 		c := nextCall()
 		Expect(len(c.pieces)).To(BeNumerically("<=", 2))
@@ -358,7 +358,7 @@
 		}
 		done := submit(list, nil)
 		c := nextCall()
-		results := []batch.Result{{Handle: "h1"}, {Handle: "h2"}, {Handle: "h3"}, {Reason: batch.NoRoom}}
+		results := []batch.Result{{Handle: "h1"}, {Handle: "h2"}, {Handle: "h3"}, {Reason: batch.NoMemory}}
 		c.answer <- reply{results, batch.Made}
 		expectNoCall()
 		b.Free([]batch.Result{{Handle: "h1", Endpoint: "a", Queue: queue}})
--- a/pkg/batch/results.go
+++ b/pkg/batch/results.go
@@ -41,7 +41,7 @@
 	for i, it := range items {
 		r := results[i]
 		if r.Handle == "" {
-			if r.Reason == NoRoom {
+			if r.Reason == NoMemory {
 				missingBytes += it.piece.Bytes
 			}
 			b.handlePieceFailure(s, it, r.Reason)
@@ -106,7 +106,7 @@
 
 func (b *Batcher) handlePieceFailure(s *service, it *item, reason Reason) {
 	switch reason {
-	case NoRoom:
+	case NoMemory:
 		b.requeue(s, it)
 	case Gone, Late:
 		it.group.settle(it.index, Result{Reason: reason})
