--- a/pkg/batch/batch.go
+++ b/pkg/batch/batch.go
@@ -86,9 +86,9 @@
 	// flight when every slot has a full batch.
 	PerSecond float64
 	AtOnce    int
-	// Others is the number of pieces that the endpoints could process in the time taken up by calls
+	// ExternalBacklog is the number of pieces that the endpoints could process in the time taken up by calls
 	// of other planners.
-	Others float64
+	ExternalBacklog float64
 	// Call is the expected duration of a call that is sent now.
 	Call time.Duration
 	// Rest is the time until the first endpoint accepts calls if all requested a back-off;
--- a/pkg/batch/capacity.go
+++ b/pkg/batch/capacity.go
@@ -28,7 +28,7 @@
 		perSecond := float64(batching.Size*max(1, batching.Slots)) / (full * w.slownessAt(now))
 		c.PerSecond += perSecond
 		if w.external.running(now) > 0 {
-			c.Others += perSecond * w.external.until.Sub(now).Seconds()
+			c.ExternalBacklog += perSecond * w.external.until.Sub(now).Seconds()
 		}
 		c.AtOnce += batching.Size * max(1, batching.Slots)
 		slots += max(1, batching.Slots)
--- a/pkg/batch/ledger_test.go
+++ b/pkg/batch/ledger_test.go
@@ -98,13 +98,13 @@
 
 		after := newBatcher()
 		after.Take(0, 1, ledger)
-		Expect(after.Capacity(whole).Others).To(BeNumerically(">", 0))
+		Expect(after.Capacity(whole).ExternalBacklog).To(BeNumerically(">", 0))
 		submit(after, "r4", 4)
 		expectNoCall()
 		clock.Advance(400 * time.Millisecond)
 		after.Tick()
 		Expect(nextCall().pieces).To(HaveLen(4), "400 of 1000 bytes are held")
-		Expect(after.Capacity(whole).Others).To(BeZero())
+		Expect(after.Capacity(whole).ExternalBacklog).To(BeZero())
 	})
 
 	It("continues at endpoints that it can reach although the other planner could not", func() {
@@ -134,7 +134,7 @@
 		b := newBatcher()
 		b.Inspect(context.Background(), []batch.Queue{whole})
 		// One queued call and half of a running one: 480 ms.
-		Expect(b.Capacity(whole).Others).To(BeNumerically("~", 6, 0.1))
+		Expect(b.Capacity(whole).ExternalBacklog).To(BeNumerically("~", 6, 0.1))
 		submit(b, "r1", 4)
 		expectNoCall()
 		clock.Advance(490 * time.Millisecond)
@@ -150,10 +150,10 @@
 		Eventually(done).Should(Receive())
 		e.reports["a"] = batch.Report{Waiting: 3, Busy: true}
 		b.Inspect(context.Background(), []batch.Queue{whole})
-		Expect(b.Capacity(whole).Others).To(BeZero())
+		Expect(b.Capacity(whole).ExternalBacklog).To(BeZero())
 		clock.Advance(3 * time.Second)
 		b.Inspect(context.Background(), []batch.Queue{whole})
-		Expect(b.Capacity(whole).Others).To(BeNumerically(">", 0))
+		Expect(b.Capacity(whole).ExternalBacklog).To(BeNumerically(">", 0))
 	})
 
 	It("goes to the endpoints that answer until the others are reached", func() {
--- a/pkg/pipeline/admission.go
+++ b/pkg/pipeline/admission.go
@@ -136,7 +136,7 @@
 	if capacity.PerSecond <= 0 {
 		return unknownStageTime
 	}
-	ahead := capacity.Others + float64(p.backlog(queue).piecesBefore(plan)+pieces) - float64(capacity.AtOnce) - capacity.PerSecond*start.Seconds()
+	ahead := capacity.ExternalBacklog + float64(p.backlog(queue).piecesBefore(plan)+pieces) - float64(capacity.AtOnce) - capacity.PerSecond*start.Seconds()
 	wait := time.Duration(max(0, ahead) / capacity.PerSecond * float64(time.Second))
 	return wait + capacity.Call
 }
