--- a/pkg/batch/batch.go
+++ b/pkg/batch/batch.go
@@ -89,8 +89,8 @@
 	// ExternalBacklog is the number of pieces that the endpoints could process in the time taken up by calls
 	// of other planners.
 	ExternalBacklog float64
-	// Call is the expected duration of a call that is sent now.
-	Call time.Duration
+	// CallTime is the expected duration of a call that is sent now.
+	CallTime time.Duration
 	// Rest is the time until the first endpoint accepts calls if all requested a back-off;
 	// otherwise 0.
 	Rest time.Duration
--- a/pkg/batch/capacity.go
+++ b/pkg/batch/capacity.go
@@ -17,7 +17,7 @@
 	full := batching.CallTime(batching.Size).Seconds()
 	c := Capacity{RoomBytes: batching.RoomBytes, Size: batching.Size, Rest: b.minBackoff(workers)}
 	if c.Rest > 0 {
-		c.Call = batching.CallTime(batching.Size)
+		c.CallTime = batching.CallTime(batching.Size)
 	}
 	slots := 0
 	speed := 0.0
@@ -37,7 +37,7 @@
 	if slots > 0 {
 		size := max(int(s.meanBatchSize+0.5), 1+len(s.queue.items)/slots)
 		call := float64(batching.CallTime(min(batching.Size, size))) * float64(slots) / speed
-		c.Call = time.Duration(call) + time.Duration(call)/time.Duration(2*slots)
+		c.CallTime = time.Duration(call) + time.Duration(call)/time.Duration(2*slots)
 	}
 	return c
 }
--- a/pkg/pipeline/admission.go
+++ b/pkg/pipeline/admission.go
@@ -131,12 +131,12 @@
 func (p *Planner) stageTime(queue batch.Queue, plan *Plan, pieces int, start time.Duration) time.Duration {
 	capacity := p.pieces.Capacity(queue)
 	if capacity.PerSecond <= 0 && capacity.Rest > 0 {
-		return max(0, capacity.Rest-start) + capacity.Call
+		return max(0, capacity.Rest-start) + capacity.CallTime
 	}
 	if capacity.PerSecond <= 0 {
 		return unknownStageTime
 	}
 	ahead := capacity.ExternalBacklog + float64(p.backlog(queue).piecesBefore(plan)+pieces) - float64(capacity.AtOnce) - capacity.PerSecond*start.Seconds()
 	wait := time.Duration(max(0, ahead) / capacity.PerSecond * float64(time.Second))
-	return wait + capacity.Call
+	return wait + capacity.CallTime
 }
--- a/pkg/pipeline/planner.go
+++ b/pkg/pipeline/planner.go
@@ -297,7 +297,7 @@
 	e.mu.Unlock()
 	offset := time.Duration(0)
 	if e.remainingStages[i] > 1 {
-		offset = time.Duration(e.remainingStages[i]-1) * e.pieces.Capacity(queueOf(e.part, stage.Service)).Call
+		offset = time.Duration(e.remainingStages[i]-1) * e.pieces.Capacity(queueOf(e.part, stage.Service)).CallTime
 	}
 	pieces := make([]batch.Piece, len(e.missing[i]))
 	for n, index := range e.missing[i] {
--- a/service/handover/failures_test.go
+++ b/service/handover/failures_test.go
@@ -44,7 +44,7 @@
 func (instantPieces) Adopt([]batch.Result) {}
 
 func (instantPieces) Capacity(batch.Queue) batch.Capacity {
-	return batch.Capacity{PerSecond: 10, AtOnce: 10, Call: time.Millisecond}
+	return batch.Capacity{PerSecond: 10, AtOnce: 10, CallTime: time.Millisecond}
 }
 
 // slowPieces makes pieces when it is told to.
