--- a/pkg/batch/batch.go
+++ b/pkg/batch/batch.go
@@ -91,9 +91,9 @@
 	ExternalBacklog float64
 	// CallTime is the expected duration of a call that is sent now.
 	CallTime time.Duration
-	// Rest is the time until the first endpoint accepts calls if all requested a back-off;
+	// Backoff is the time until the first endpoint accepts calls if all requested a back-off;
 	// otherwise 0.
-	Rest time.Duration
+	Backoff time.Duration
 	// RoomBytes is the result memory of one endpoint. Size is the number of pieces in a full batch.
 	RoomBytes int64
 	Size      int
@@ -177,6 +177,6 @@
 	Ready(service string) []fleet.Endpoint
 	// Endpoint returns an endpoint by ID.
 	Endpoint(id string) (fleet.Endpoint, bool)
-	// Rest returns the remaining back-off that an endpoint requested from this process; 0 if none.
+	// Backoff returns the remaining back-off that an endpoint requested from this process; 0 if none.
 	Rest(id string) time.Duration
 }
--- a/pkg/batch/capacity.go
+++ b/pkg/batch/capacity.go
@@ -15,8 +15,8 @@
 	now := b.clock.Now()
 	b.applyBackoffs(workers, now)
 	full := batching.CallTime(batching.Size).Seconds()
-	c := Capacity{RoomBytes: batching.RoomBytes, Size: batching.Size, Rest: b.minBackoff(workers)}
-	if c.Rest > 0 {
+	c := Capacity{RoomBytes: batching.RoomBytes, Size: batching.Size, Backoff: b.minBackoff(workers)}
+	if c.Backoff > 0 {
 		c.CallTime = batching.CallTime(batching.Size)
 	}
 	slots := 0
--- a/pkg/pipeline/pipeline_test.go
+++ b/pkg/pipeline/pipeline_test.go
@@ -197,7 +197,7 @@
 	})
 
 	It("forecasts a stage whose endpoints all requested a back-off by the first one to end", func() {
-		m.capacity = batch.Capacity{CallTime: 300 * time.Millisecond, Rest: 1500 * time.Millisecond, RoomBytes: 1000, Size: 4}
+		m.capacity = batch.Capacity{CallTime: 300 * time.Millisecond, Backoff: 1500 * time.Millisecond, RoomBytes: 1000, Size: 4}
 		refused := outcomeOf(run(chain("late", 2*time.Second)))
 		Expect(refused.Reason).To(Equal(pipeline.Busy))
 		Expect(refused.RetryAfter).To(BeNumerically("<", 1500*time.Millisecond), "the delay is shorter than the forecast for a stage without endpoints")
