--- a/pkg/batch/batch.go
+++ b/pkg/batch/batch.go
@@ -94,9 +94,9 @@
 	// Backoff is the time until the first endpoint accepts calls if all requested a back-off;
 	// otherwise 0.
 	Backoff time.Duration
-	// RoomBytes is the result memory of one endpoint. Size is the number of pieces in a full batch.
-	RoomBytes int64
-	Size      int
+	// MemoryBytes is the result memory of one endpoint. Size is the number of pieces in a full batch.
+	MemoryBytes int64
+	Size        int
 }
 
 // scarceMemoryBatches is the number of full batches of results below which an endpoint's memory
@@ -105,7 +105,7 @@
 
 // Scarce reports whether memory is scarce for results of the given size.
 func (c Capacity) Scarce(bytes int64) bool {
-	return c.RoomBytes < scarceMemoryBatches*int64(c.Size)*bytes
+	return c.MemoryBytes < scarceMemoryBatches*int64(c.Size)*bytes
 }
 
 // Reason is why a piece was not completed.
--- a/pkg/pipeline/handover_test.go
+++ b/pkg/pipeline/handover_test.go
@@ -24,7 +24,7 @@
 
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
-		m = &fakeBatcher{stages: make(chan *stageCall, 100), capacity: batch.Capacity{PerSecond: 10, AtOnce: 10, CallTime: 300 * time.Millisecond, RoomBytes: 1 << 30, Size: 10}}
+		m = &fakeBatcher{stages: make(chan *stageCall, 100), capacity: batch.Capacity{PerSecond: 10, AtOnce: 10, CallTime: 300 * time.Millisecond, MemoryBytes: 1 << 30, Size: 10}}
 		p = pipeline.NewPlanner(m, clock, metrics.NewSet(), logging.Discard().For("pipeline"))
 	})
 
--- a/pkg/pipeline/overload_test.go
+++ b/pkg/pipeline/overload_test.go
@@ -93,7 +93,7 @@
 }
 
 func (l *simulatedBatcher) Capacity(batch.Queue) batch.Capacity {
-	return batch.Capacity{PerSecond: loadRate, AtOnce: 400, CallTime: 444 * time.Millisecond, RoomBytes: 1 << 30, Size: 40}
+	return batch.Capacity{PerSecond: loadRate, AtOnce: 400, CallTime: 444 * time.Millisecond, MemoryBytes: 1 << 30, Size: 40}
 }
 
 func (*simulatedBatcher) Free([]batch.Result)                          {}
--- a/pkg/pipeline/pipeline_test.go
+++ b/pkg/pipeline/pipeline_test.go
@@ -101,7 +101,7 @@
 	BeforeEach(func() {
 		m = &fakeBatcher{
 			stages:   make(chan *stageCall, 100),
-			capacity: batch.Capacity{PerSecond: 10, AtOnce: 10, CallTime: 300 * time.Millisecond, RoomBytes: 1000, Size: 4},
+			capacity: batch.Capacity{PerSecond: 10, AtOnce: 10, CallTime: 300 * time.Millisecond, MemoryBytes: 1000, Size: 4},
 		}
 		clock = clockwork.NewFakeClock()
 		p = pipeline.NewPlanner(m, clock, metrics.NewSet(), logging.Discard().For("pipeline"))
@@ -197,7 +197,7 @@
 	})
 
 	It("forecasts a stage whose endpoints all requested a back-off by the first one to end", func() {
-		m.capacity = batch.Capacity{CallTime: 300 * time.Millisecond, Backoff: 1500 * time.Millisecond, RoomBytes: 1000, Size: 4}
+		m.capacity = batch.Capacity{CallTime: 300 * time.Millisecond, Backoff: 1500 * time.Millisecond, MemoryBytes: 1000, Size: 4}
 		refused := outcomeOf(run(chain("late", 2*time.Second)))
 		Expect(refused.Reason).To(Equal(pipeline.Busy))
 		Expect(refused.RetryAfter).To(BeNumerically("<", 1500*time.Millisecond), "the delay is shorter than the forecast for a stage without endpoints")
@@ -286,7 +286,7 @@
 	})
 
 	It("frees results when they have been read if memory is scarce", func() {
-		m.capacity.RoomBytes = 500
+		m.capacity.MemoryBytes = 500
 		done := run(chain("r", time.Minute))
 		nextStage().finish("")
 		second := nextStage()
