--- a/pkg/batch/batch.go
+++ b/pkg/batch/batch.go
@@ -103,8 +103,8 @@
 // counts as scarce: the running call and the results that wait to be read.
 const scarceMemoryBatches = 3
 
-// Scarce reports whether memory is scarce for results of the given size.
-func (c Capacity) Scarce(bytes int64) bool {
+// MemoryScarce reports whether memory is scarce for results of the given size.
+func (c Capacity) MemoryScarce(bytes int64) bool {
 	return c.MemoryBytes < scarceMemoryBatches*int64(c.Size)*bytes
 }
 
--- a/pkg/pipeline/planner.go
+++ b/pkg/pipeline/planner.go
@@ -352,7 +352,7 @@
 	scarce := false
 	for _, before := range stage.After {
 		read := &e.plan.Stages[before]
-		scarce = scarce || e.pieces.Capacity(queueOf(e.part, read.Service)).Scarce(read.Bytes)
+		scarce = scarce || e.pieces.Capacity(queueOf(e.part, read.Service)).MemoryScarce(read.Bytes)
 	}
 	if !scarce {
 		return nil
