--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -345,8 +345,8 @@
 	return k.follower.View().Fleet.Endpoint(id)
 }
 
-// Rest implements batch.Known.
-func (k known) Rest(id string) time.Duration { return k.rests.Left(id) }
+// Backoff implements batch.Known.
+func (k known) Backoff(id string) time.Duration { return k.rests.Left(id) }
 
 // Run runs the instance until it has stopped as planned.
 func (g *Gateway) Run(signals <-chan os.Signal) error {
--- a/pkg/batch/backoff.go
+++ b/pkg/batch/backoff.go
@@ -10,7 +10,7 @@
 // to this process. A worker in back-off gets no calls and does not count in forecasts.
 func (b *Batcher) applyBackoffs(workers []*worker, now time.Time) {
 	for _, w := range workers {
-		if until := now.Add(b.registry.Rest(w.endpoint.ID)); until.After(w.backoffUntil) {
+		if until := now.Add(b.registry.Backoff(w.endpoint.ID)); until.After(w.backoffUntil) {
 			w.backoffUntil = until
 		}
 	}
@@ -19,5 +19,5 @@
 // minBackoff returns the time until the first of the workers' endpoints accepts calls; 0 if one
 // does.
 func (b *Batcher) minBackoff(workers []*worker) time.Duration {
-	return notice.Least(workers, func(w *worker) time.Duration { return b.registry.Rest(w.endpoint.ID) })
+	return notice.Least(workers, func(w *worker) time.Duration { return b.registry.Backoff(w.endpoint.ID) })
 }
--- a/pkg/batch/batch.go
+++ b/pkg/batch/batch.go
@@ -178,5 +178,5 @@
 	// Endpoint returns an endpoint by ID.
 	Endpoint(id string) (fleet.Endpoint, bool)
 	// Backoff returns the remaining back-off that an endpoint requested from this process; 0 if none.
-	Rest(id string) time.Duration
+	Backoff(id string) time.Duration
 }
--- a/pkg/batch/fake_test.go
+++ b/pkg/batch/fake_test.go
@@ -129,7 +129,7 @@
 	return fleet.Endpoint{ID: id, FailureDomain: "zone"}, true
 }
 
-func (e *fakeEndpoints) Rest(id string) time.Duration {
+func (e *fakeEndpoints) Backoff(id string) time.Duration {
 	if !e.hasBackoffs.Load() {
 		return 0
 	}
--- a/pkg/batch/free.go
+++ b/pkg/batch/free.go
@@ -25,7 +25,7 @@
 	freeing := b.pendingFrees
 	b.pendingFrees = map[string][]Result{}
 	for id, results := range freeing {
-		if b.registry.Rest(id) > 0 {
+		if b.registry.Backoff(id) > 0 {
 			b.pendingFrees[id] = results
 			delete(freeing, id)
 		}
