--- a/pkg/batch/batch.go
+++ b/pkg/batch/batch.go
@@ -36,13 +36,13 @@
 	Priority int `json:"priority"`
 	// Domain is the preferred failure domain; empty means any.
 	Domain string `json:"domain,omitempty"`
-	// Within lists the failure domains in which the piece may run; empty means any.
-	Within []string `json:"within,omitempty"`
+	// AllowedDomains lists the failure domains in which the piece may run; empty means any.
+	AllowedDomains []string `json:"within,omitempty"`
 }
 
 // allowedIn reports whether the piece may run in a failure domain.
 func (p *Piece) allowedIn(domain string) bool {
-	return len(p.Within) == 0 || slices.Contains(p.Within, domain)
+	return len(p.AllowedDomains) == 0 || slices.Contains(p.AllowedDomains, domain)
 }
 
 // transferBytes returns how many bytes cross failure domains if the piece runs outside its
--- a/pkg/pipeline/planner.go
+++ b/pkg/pipeline/planner.go
@@ -302,18 +302,18 @@
 	pieces := make([]batch.Piece, len(e.missing[i]))
 	for n, index := range e.missing[i] {
 		pieces[n] = batch.Piece{
-			Request:     e.plan.Request,
-			Stage:       i,
-			Index:       index,
-			Inputs:      inputs,
-			InputBytes:  inputBytes,
-			InputsUntil: until,
-			Bytes:       stage.Bytes,
-			Due:         e.plan.Due.Add(-offset),
-			Deadline:    e.plan.Deadline,
-			Priority:    e.plan.Priority,
-			Domain:      domain,
-			Within:      e.plan.Within,
+			Request:        e.plan.Request,
+			Stage:          i,
+			Index:          index,
+			Inputs:         inputs,
+			InputBytes:     inputBytes,
+			InputsUntil:    until,
+			Bytes:          stage.Bytes,
+			Due:            e.plan.Due.Add(-offset),
+			Deadline:       e.plan.Deadline,
+			Priority:       e.plan.Priority,
+			Domain:         domain,
+			AllowedDomains: e.plan.Within,
 		}
 		if len(stage.After) == 0 {
 			pieces[n].Key = e.plan.Key
