--- a/pkg/batch/batch.go
+++ b/pkg/batch/batch.go
@@ -155,8 +155,8 @@
 	Run(ctx context.Context, endpoint fleet.Endpoint, pieces []Piece) ([]Result, CallOutcome)
 	// Report asks an endpoint for its current load.
 	Report(ctx context.Context, endpoint fleet.Endpoint) (Report, error)
-	// Reach checks that an endpoint accepts connections.
-	Reach(ctx context.Context, endpoint fleet.Endpoint) error
+	// Probe checks that an endpoint accepts connections.
+	Probe(ctx context.Context, endpoint fleet.Endpoint) error
 	// Free discards results at the endpoint that holds them.
 	Free(ctx context.Context, endpoint fleet.Endpoint, handles []string) error
 }
--- a/pkg/batch/fake_test.go
+++ b/pkg/batch/fake_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func (e *fakeEndpoints) Reach(_ context.Context, endpoint fleet.Endpoint) error {
+func (e *fakeEndpoints) Probe(_ context.Context, endpoint fleet.Endpoint) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.probes++
--- a/pkg/batch/probe.go
+++ b/pkg/batch/probe.go
@@ -47,7 +47,7 @@
 func (b *Batcher) probe(s *service, w *worker) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	err := b.caller.Reach(ctx, w.endpoint)
+	err := b.caller.Probe(ctx, w.endpoint)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w.probing = false
