--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -232,7 +232,7 @@
 	g.budget = retry.NewBudget(g.clock, budgetBounds(s), g.instances)
 	g.pieces = retry.NewBudget(g.clock, budgetBounds(s), g.instances)
 	g.batcher = batch.New(&platform.Stages{Conns: g.conns, Clock: g.clock}, known{g.follower, g.rests}, g.pieces, g.clock, g.metrics, g.logs.For("batch"))
-	g.batcher.ByRegion(g.regions)
+	g.batcher.SetRegions(g.regions)
 	planner := pipeline.NewPlanner(g.batcher, g.clock, g.metrics, g.logs.For("pipeline"))
 	g.router = handover.NewRouter(handover.Options{
 		Self:     self,
--- a/pkg/batch/batcher.go
+++ b/pkg/batch/batcher.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// ByRegion enables partitioning by region. It must be called before any work is submitted.
-func (b *Batcher) ByRegion(regions ownership.Regions) { b.regions = regions }
+// SetRegions enables partitioning by region. It must be called before any work is submitted.
+func (b *Batcher) SetRegions(regions ownership.Regions) { b.regions = regions }
 
 // Make processes pieces of one queue and returns their results in the same order. If ctx ends
 // first, queued pieces are dropped and later results are freed. If onRead is not nil, it is called
