--- a/pkg/pipeline/planner.go
+++ b/pkg/pipeline/planner.go
@@ -13,8 +13,8 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/batch"
 )
 
-// Pieces processes pieces in batches. It is implemented by batch.Batcher.
-type Pieces interface {
+// Batcher processes pieces in batches. It is implemented by batch.Batcher.
+type Batcher interface {
 	// Make returns a result for each piece when all are settled. If read is not nil, it is called
 	// when the inputs have been read.
 	Make(ctx context.Context, at batch.Queue, pieces []batch.Piece, read func()) []batch.Result
@@ -38,7 +38,7 @@
 
 // Planner executes the stages of requests. It is safe for concurrent use.
 type Planner struct {
-	pieces Pieces
+	pieces Batcher
 	clock  clockwork.Clock
 	log    *logrus.Entry
 
@@ -54,7 +54,7 @@
 }
 
 // NewPlanner returns an idle planner. It registers its counters in set.
-func NewPlanner(pieces Pieces, clock clockwork.Clock, set *metrics.Set, log *logrus.Entry) *Planner {
+func NewPlanner(pieces Batcher, clock clockwork.Clock, set *metrics.Set, log *logrus.Entry) *Planner {
 	return &Planner{
 		pieces:   pieces,
 		clock:    clock,
