--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -149,7 +149,7 @@
 		need.Apart = u.digest.String()
 	}
 	if len(u.inputs) > 0 {
-		need.Domain = pipeline.HeaviestDomain(u.inputs)
+		need.Domain = pipeline.LargestDomain(u.inputs)
 		need.DomainCost = time.Duration(u.inputBytes()) * bytesCost
 	}
 	if call := u.pickOnTrial(need); call != nil {
--- a/pkg/pipeline/planner.go
+++ b/pkg/pipeline/planner.go
@@ -290,7 +290,7 @@
 		}
 	}
 	if len(stage.After) > 0 {
-		if heaviest := HeaviestDomain(e.results(stage.After)); heaviest != "" {
+		if heaviest := LargestDomain(e.results(stage.After)); heaviest != "" {
 			domain = heaviest
 		}
 	}
@@ -330,9 +330,9 @@
 	return all
 }
 
-// HeaviestDomain returns the failure domain that holds the most bytes of results; empty if there
+// LargestDomain returns the failure domain that holds the most bytes of results; empty if there
 // are none.
-func HeaviestDomain(results []batch.Result) string {
+func LargestDomain(results []batch.Result) string {
 	weights := map[string]int64{}
 	best, most := "", int64(-1)
 	for _, r := range results {
