--- a/pkg/gateway/stages.go
+++ b/pkg/gateway/stages.go
@@ -73,15 +73,15 @@
 	candidates := u.ready(u.service.Name)
 	call, domain := u.Balancer.Expect(candidates, u.need())
 	plan := pipeline.Plan{
-		Request:  u.request.ID,
-		Stages:   make([]pipeline.Stage, len(u.route.Stages)),
-		Key:      u.request.PieceKey,
-		Due:      u.due().Add(-call),
-		Deadline: u.deadline,
-		Priority: u.rank(),
-		Domain:   domain,
-		Within:   u.within,
-		Readers:  u.readers(candidates),
+		Request:        u.request.ID,
+		Stages:         make([]pipeline.Stage, len(u.route.Stages)),
+		Key:            u.request.PieceKey,
+		Due:            u.due().Add(-call),
+		Deadline:       u.deadline,
+		Priority:       u.rank(),
+		Domain:         domain,
+		AllowedDomains: u.within,
+		Readers:        u.readers(candidates),
 	}
 	for i, stage := range u.route.Stages {
 		plan.Stages[i] = pipeline.Stage{Service: stage.Service, After: stage.After, Bytes: stage.Bytes}
--- a/pkg/pipeline/plan.go
+++ b/pkg/pipeline/plan.go
@@ -39,9 +39,9 @@
 	// Region is the region whose endpoints process the pieces; empty means any, if the partitions
 	// are not split by region.
 	Region string `json:"region,omitempty"`
-	// Within lists the failure domains in which the pieces may run; empty means any. A plan with
+	// AllowedDomains lists the failure domains in which the pieces may run; empty means any. A plan with
 	// such a limit is executed by the instance that received the request and is not sent to others.
-	Within []string `json:"-"`
+	AllowedDomains []string `json:"-"`
 	// Readers lists the endpoints where the request may run; if empty, the planner does not choose
 	// one.
 	Readers []Reader `json:"readers,omitempty"`
--- a/pkg/pipeline/planner.go
+++ b/pkg/pipeline/planner.go
@@ -313,7 +313,7 @@
 			Deadline:       e.plan.Deadline,
 			Priority:       e.plan.Priority,
 			Domain:         domain,
-			AllowedDomains: e.plan.Within,
+			AllowedDomains: e.plan.AllowedDomains,
 		}
 		if len(stage.After) == 0 {
 			pieces[n].Key = e.plan.Key
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -130,7 +130,7 @@
 
 // Run implements gateway.Stages. A plan whose division changes goes on in the next one.
 func (r *Router) Run(ctx context.Context, plan pipeline.Plan) pipeline.Outcome {
-	if len(plan.Within) > 0 {
+	if len(plan.AllowedDomains) > 0 {
 		// Its owner may stand where nothing of the request may be.
 		whole := pipeline.Part{Of: 1}
 		r.planner.Resume(whole)
