--- a/pkg/pipeline/handover.go
+++ b/pkg/pipeline/handover.go
@@ -60,20 +60,20 @@
 
 // dropMalformed drops results received from a peer that do not match the plan.
 func (p *Plan) dropMalformed() {
-	if len(p.Made) != len(p.Stages) {
-		p.Made = nil
+	if len(p.Completed) != len(p.Stages) {
+		p.Completed = nil
 		return
 	}
-	for i, made := range p.Made {
+	for i, made := range p.Completed {
 		if len(made) != p.Stages[i].Pieces {
-			p.Made[i] = nil
+			p.Completed[i] = nil
 		}
 	}
 }
 
 // started reports whether any piece of the plan is completed.
 func (p *Plan) started() bool {
-	for _, made := range p.Made {
+	for _, made := range p.Completed {
 		if slices.ContainsFunc(made, func(r batch.Result) bool { return r.Handle != "" }) {
 			return true
 		}
@@ -104,7 +104,7 @@
 func (p *Plan) notMade(stage int) []int {
 	var indices []int
 	for n := range p.Stages[stage].Pieces {
-		if p.Made == nil || p.Made[stage] == nil || p.Made[stage][n].Handle == "" {
+		if p.Completed == nil || p.Completed[stage] == nil || p.Completed[stage][n].Handle == "" {
 			indices = append(indices, n)
 		}
 	}
--- a/pkg/pipeline/handover_test.go
+++ b/pkg/pipeline/handover_test.go
@@ -31,12 +31,12 @@
 	// planOf returns a plan of two stages; the second reads the first.
 	planOf := func(left time.Duration, made [][]batch.Result) pipeline.Plan {
 		return pipeline.Plan{
-			Request:  "r",
-			Stages:   []pipeline.Stage{{Service: "s", Pieces: 2, Bytes: 1}, {Service: "t", After: []int{0}, Pieces: 3, Bytes: 1}},
-			Key:      "key",
-			Due:      clock.Now().Add(left),
-			Deadline: clock.Now().Add(time.Minute),
-			Made:     made,
+			Request:   "r",
+			Stages:    []pipeline.Stage{{Service: "s", Pieces: 2, Bytes: 1}, {Service: "t", After: []int{0}, Pieces: 3, Bytes: 1}},
+			Key:       "key",
+			Due:       clock.Now().Add(left),
+			Deadline:  clock.Now().Add(time.Minute),
+			Completed: made,
 		}
 	}
 
--- a/pkg/pipeline/plan.go
+++ b/pkg/pipeline/plan.go
@@ -45,9 +45,9 @@
 	// Readers lists the endpoints where the request may run; if empty, the planner does not choose
 	// one.
 	Readers []Reader `json:"readers,omitempty"`
-	// Made holds the results, by stage and piece, that the previous planner of the partition had
+	// Completed holds the results, by stage and piece, that the previous planner of the partition had
 	// completed. Pieces without a handle are still to be processed.
-	Made [][]batch.Result `json:"made,omitempty"`
+	Completed [][]batch.Result `json:"made,omitempty"`
 	// Progress, if not nil, is called with the results of each completed stage except the last. It
 	// must not block.
 	Progress func(stage int, results []batch.Result) `json:"-"`
@@ -63,7 +63,7 @@
 	Planner string `json:"-"`
 	// Reason is why there are no results.
 	Reason batch.Reason `json:"reason,omitempty"`
-	// Made holds the completed results of a plan that has moved, as in Plan.
+	// Completed holds the completed results of a plan that has moved, as in Plan.
 	Made [][]batch.Result `json:"made,omitempty"`
 	// RetryAfter is the retry delay of a refused request; 0 if there is none.
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
--- a/pkg/pipeline/planner.go
+++ b/pkg/pipeline/planner.go
@@ -77,7 +77,7 @@
 	begin := p.clock.Now()
 	plan.dropMalformed()
 	p.inspect(ctx, part, &plan)
-	for _, made := range plan.Made {
+	for _, made := range plan.Completed {
 		p.pieces.Adopt(made)
 	}
 	forecast, admitted := p.admit(part, &plan)
@@ -96,7 +96,7 @@
 	}
 	if outcome.Reason == batch.Gone && p.clock.Now().Before(plan.Due) {
 		p.log.WithFields(logrus.Fields{"event": "plan_again", "id": plan.Request}).Info()
-		plan.Made = nil
+		plan.Completed = nil
 		p.addPlan(part, &plan)
 		outcome = newExecution(p, part, &plan).run(ctx)
 	}
@@ -165,8 +165,8 @@
 		}
 		e.done[i] = make(chan struct{})
 		e.made[i] = make([]batch.Result, plan.Stages[i].Pieces)
-		if plan.Made != nil {
-			copy(e.made[i], plan.Made[i])
+		if plan.Completed != nil {
+			copy(e.made[i], plan.Completed[i])
 		}
 	}
 	return e
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -157,7 +157,7 @@
 	now := h.clock.Now()
 	call.Plan.Due = now.Add(time.Duration(call.DueMs) * time.Millisecond)
 	call.Plan.Deadline = now.Add(time.Duration(call.DeadlineMs) * time.Millisecond)
-	call.Plan.Made = withTimes(call.Plan.Made, now)
+	call.Plan.Completed = withTimes(call.Plan.Completed, now)
 	call.Plan.Progress = h.router.tellProgress(call.From, call.Call)
 	return h.router.serve(ctx, call)
 }
--- a/service/handover/progress.go
+++ b/service/handover/progress.go
@@ -24,7 +24,7 @@
 // begin notes a call that hands a plan over.
 func (p *progress) begin(call string, plan *pipeline.Plan) {
 	made := make([][]batch.Result, len(plan.Stages))
-	copy(made, plan.Made)
+	copy(made, plan.Completed)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.made[call] = made
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -159,12 +159,12 @@
 		if outcome.Reason != batch.Moved {
 			return outcome
 		}
-		plan.Made = outcome.Made
+		plan.Completed = outcome.Made
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	r.freeMade(plan.Made)
+	r.freeMade(plan.Completed)
 	return pipeline.Outcome{Reason: batch.Late}
 }
 
@@ -182,13 +182,13 @@
 		if err != nil {
 			turned[address] = true
 			silent += choose(peers.Answered(err), 0, 1)
-			plan.Made = outcome.Made
+			plan.Completed = outcome.Made
 			continue
 		}
 		if outcome.Reason != batch.Moved || r.outdated(part, &plan) {
 			return outcome
 		}
-		plan.Made = outcome.Made
+		plan.Completed = outcome.Made
 		if holder, known := r.claims.holder(part); !known || holder.Owner.PeerAddress == address {
 			turned[address] = true
 		}
@@ -240,14 +240,14 @@
 		if outcome.Reason != batch.Moved || ctx.Err() != nil || r.outdated(part, &plan) {
 			return outcome
 		}
-		plan.Made = outcome.Made
+		plan.Completed = outcome.Made
 		if holder, known := r.claims.holder(part); known && !r.claims.owns(part) && r.owners.reaches(holder.Owner) {
 			if moved, err := r.handOver(ctx, holder.Owner.PeerAddress, part, plan, false); err == nil && moved.Reason != batch.Moved {
 				return moved
 			}
 		}
 	}
-	r.freeMade(plan.Made)
+	r.freeMade(plan.Completed)
 	return pipeline.Outcome{Reason: batch.Late}
 }
 
@@ -258,19 +258,19 @@
 	part, plan := call.Part, call.Plan
 	r.divisions.hear(call.Division, "told_with_plan")
 	if division := r.divisions.agreed(); call.Division.Parts > 0 && part.Of != division.Parts && division.Beats(call.Division) {
-		return api.Ran{Outcome: pipeline.Outcome{Reason: batch.Moved, Made: plan.Made}, Division: division}, nil
+		return api.Ran{Outcome: pipeline.Outcome{Reason: batch.Moved, Made: plan.Completed}, Division: division}, nil
 	}
 	r.claims.hear([]ownership.Claim{call.Known}, "told_with_plan")
 	holder, known := r.claims.holder(part)
 	if known && !r.claims.owns(part) && r.owners.reaches(holder.Owner) && !call.Relayed {
 		if holder != call.Known {
-			return api.Ran{Outcome: pipeline.Outcome{Reason: batch.Moved, Made: plan.Made}, Owner: holder}, nil
+			return api.Ran{Outcome: pipeline.Outcome{Reason: batch.Moved, Made: plan.Completed}, Owner: holder}, nil
 		}
 		outcome, err := r.handOver(ctx, holder.Owner.PeerAddress, part, plan, true)
 		if err == nil {
 			return r.answer(call, outcome), nil
 		}
-		plan.Made = outcome.Made
+		plan.Completed = outcome.Made
 	}
 	if !r.claims.owns(part) {
 		if r.leavesOthers() {
@@ -299,7 +299,7 @@
 func (r *Router) handOver(ctx context.Context, address string, part pipeline.Part, plan pipeline.Plan, relayed bool) (pipeline.Outcome, error) {
 	now := r.clock.Now()
 	call := api.Run{Call: uuid.NewString(), Part: part, Plan: plan, DueMs: plan.Due.Sub(now).Milliseconds(), DeadlineMs: plan.Deadline.Sub(now).Milliseconds(), Relayed: relayed}
-	call.Plan.Made = withTimesLeft(plan.Made, now)
+	call.Plan.Completed = withTimesLeft(plan.Completed, now)
 	call.Known, _ = r.claims.holder(part)
 	call.From = r.owners.self.PeerAddress
 	call.Division = r.divisions.inForce()
