--- a/pkg/pipeline/handover.go
+++ b/pkg/pipeline/handover.go
@@ -21,8 +21,8 @@
 	return ledger
 }
 
-// Take takes over a partition with the state of its previous planner.
-func (p *Planner) Take(part Part, ledger Ledger) {
+// Acquire takes over a partition with the state of its previous planner.
+func (p *Planner) Acquire(part Part, ledger Ledger) {
 	if planned := p.pieces.Take(part.Number, part.Of, ledger.Pieces); planned {
 		return
 	}
--- a/service/handover/divisions.go
+++ b/service/handover/divisions.go
@@ -134,7 +134,7 @@
 		holder = r.claims.assign(part, r.owners.first(part), "division")
 	}
 	if r.claims.owns(part) {
-		r.planner.Take(part, share)
+		r.planner.Acquire(part, share)
 		return
 	}
 	r.give(holder, share)
--- a/service/handover/succession.go
+++ b/service/handover/succession.go
@@ -58,7 +58,7 @@
 			return
 		}
 		r.claim(part, "successor_not_reached")
-		r.planner.Take(part, ledger)
+		r.planner.Acquire(part, ledger)
 	}
 }
 
@@ -69,7 +69,7 @@
 		ledger := r.planner.Release(claim.Part)
 		if r.claims.owns(claim.Part) {
 			// It came back meanwhile.
-			r.planner.Take(claim.Part, ledger)
+			r.planner.Acquire(claim.Part, ledger)
 			return
 		}
 		r.give(claim, ledger)
@@ -102,7 +102,7 @@
 	if call.Claim.Owner != r.owners.self.Owner() || !r.claims.owns(call.Claim.Part) {
 		return problem.New(problem.Conflict, "tell it to the owner that the heartbeats name", "part %d of %d is not this instance's in term %d", call.Claim.Part.Number, call.Claim.Part.Of, call.Claim.Term)
 	}
-	r.planner.Take(call.Claim.Part, call.Ledger)
+	r.planner.Acquire(call.Claim.Part, call.Ledger)
 	return nil
 }
 
