--- a/cmd/cobaltcroftd/daemon/placement.go
+++ b/cmd/cobaltcroftd/daemon/placement.go
@@ -76,14 +76,14 @@
 }
 
 // endpoints returns the live endpoints of the own failure domain.
-func (s *placementService) endpoints() []placement.Observed {
-	var observed []placement.Observed
+func (s *placementService) endpoints() []placement.EndpointState {
+	var observed []placement.EndpointState
 	for service, pool := range s.control.View().Pools {
 		for _, e := range pool.Standings() {
 			if e.Leaving || e.FailureDomain != s.base.settings.FailureDomain {
 				continue
 			}
-			observed = append(observed, placement.Observed{Endpoint: e.Name, Address: e.Address, Service: service, ChecksTokens: e.ChecksTokens})
+			observed = append(observed, placement.EndpointState{Endpoint: e.Name, Address: e.Address, Service: service, ChecksTokens: e.ChecksTokens})
 		}
 	}
 	return observed
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -26,8 +26,8 @@
 	return &config.Placement{Name: model, Service: "engine", Model: model, Replicas: replicas}
 }
 
-func observed(name string, models ...string) placement.Observed {
-	o := placement.Observed{Endpoint: name, Service: "engine", ChecksTokens: true}
+func observed(name string, models ...string) placement.EndpointState {
+	o := placement.EndpointState{Endpoint: name, Service: "engine", ChecksTokens: true}
 	for _, m := range models {
 		o.Models = append(o.Models, placement.Model{Name: m})
 	}
@@ -48,15 +48,15 @@
 }
 
 var _ = DescribeTable("the plan",
-	func(placements []*config.Placement, endpoints []placement.Observed, orders ...string) {
+	func(placements []*config.Placement, endpoints []placement.EndpointState, orders ...string) {
 		Expect(append([]string{}, formatOrders(placement.Plan(placements, endpoints))...)).To(Equal(append([]string{}, orders...)))
 	},
-	Entry("loads missing replicas on the endpoints with the fewest models", []*config.Placement{placementOf("m", 2)}, []placement.Observed{observed("a", "n"), observed("b"), observed("c")}, "+m@b", "+m@c", "-n@a"),
-	Entry("makes no changes in the desired state", []*config.Placement{placementOf("m", 1)}, []placement.Observed{observed("a", "m"), observed("b")}),
-	Entry("loads no more replicas than there are endpoints", []*config.Placement{placementOf("m", 3)}, []placement.Observed{observed("a")}, "+m@a"),
-	Entry("loads the placement with the fewest replicas first", []*config.Placement{placementOf("m", 2), placementOf("n", 2)}, []placement.Observed{observed("a", "m"), observed("b")}, "+n@b", "+n@a", "+m@b"),
-	Entry("unloads surplus replicas but never the last", []*config.Placement{placementOf("m", 1)}, []placement.Observed{observed("a", "m"), observed("b", "m")}, "-m@a"),
-	Entry("ignores services without placements", nil, []placement.Observed{observed("a", "m")}),
+	Entry("loads missing replicas on the endpoints with the fewest models", []*config.Placement{placementOf("m", 2)}, []placement.EndpointState{observed("a", "n"), observed("b"), observed("c")}, "+m@b", "+m@c", "-n@a"),
+	Entry("makes no changes in the desired state", []*config.Placement{placementOf("m", 1)}, []placement.EndpointState{observed("a", "m"), observed("b")}),
+	Entry("loads no more replicas than there are endpoints", []*config.Placement{placementOf("m", 3)}, []placement.EndpointState{observed("a")}, "+m@a"),
+	Entry("loads the placement with the fewest replicas first", []*config.Placement{placementOf("m", 2), placementOf("n", 2)}, []placement.EndpointState{observed("a", "m"), observed("b")}, "+n@b", "+n@a", "+m@b"),
+	Entry("unloads surplus replicas but never the last", []*config.Placement{placementOf("m", 1)}, []placement.EndpointState{observed("a", "m"), observed("b", "m")}, "-m@a"),
+	Entry("ignores services without placements", nil, []placement.EndpointState{observed("a", "m")}),
 )
 
 // fakeLease is held until a fixed time.
@@ -114,8 +114,8 @@
 		runner = placement.NewRunner(placement.Options{
 			Lease:  held,
 			Engine: engine,
-			Endpoints: func() []placement.Observed {
-				return []placement.Observed{{Endpoint: "a", Address: "a", Service: "engine", ChecksTokens: checks}}
+			Endpoints: func() []placement.EndpointState {
+				return []placement.EndpointState{{Endpoint: "a", Address: "a", Service: "engine", ChecksTokens: checks}}
 			},
 			Placements:     func() []*config.Placement { return []*config.Placement{placementOf("m", 1), placementOf("n", 1)} },
 			OrderTimeout:   20 * time.Second,
--- a/pkg/placement/plan.go
+++ b/pkg/placement/plan.go
@@ -21,8 +21,8 @@
 	return Model{Name: p.Model, Adapter: p.Adapter, Version: p.Version}
 }
 
-// Observed is the state of an endpoint, as read from it.
-type Observed struct {
+// EndpointState is the state of an endpoint, as read from it.
+type EndpointState struct {
 	Endpoint string
 	Address  string
 	Service  string
@@ -31,7 +31,7 @@
 	Models       []Model
 }
 
-func (o *Observed) holds(m Model) bool { return slices.Contains(o.Models, m) }
+func (o *EndpointState) holds(m Model) bool { return slices.Contains(o.Models, m) }
 
 // Order asks one endpoint to load or unload a model. It names the desired state and is idempotent.
 type Order struct {
@@ -47,7 +47,7 @@
 // come first, ordered by the fraction of replicas that exist, each on the endpoint with the fewest
 // models. Unloads of unwanted models follow; the last endpoint with a wanted model is never told to
 // unload it.
-func Plan(placements []*config.Placement, endpoints []Observed) []Order {
+func Plan(placements []*config.Placement, endpoints []EndpointState) []Order {
 	state := slices.Clone(endpoints)
 	for i := range state {
 		state[i].Models = slices.Clone(state[i].Models)
@@ -64,11 +64,11 @@
 }
 
 // coverage returns the fraction of a placement's replicas that exist.
-func coverage(p *config.Placement, state []Observed) float64 {
+func coverage(p *config.Placement, state []EndpointState) float64 {
 	return float64(countHolders(p, state)) / float64(max(p.Replicas, 1))
 }
 
-func countHolders(p *config.Placement, state []Observed) int {
+func countHolders(p *config.Placement, state []EndpointState) int {
 	n := 0
 	for i := range state {
 		if state[i].Service == p.Service && state[i].holds(ModelOf(p)) {
@@ -79,7 +79,7 @@
 }
 
 // loads returns the orders for the missing replicas of a placement and applies them to the state.
-func loads(p *config.Placement, state []Observed) []Order {
+func loads(p *config.Placement, state []EndpointState) []Order {
 	var orders []Order
 	for range int(p.Replicas) - countHolders(p, state) {
 		target := leastLoaded(p, state)
@@ -94,8 +94,8 @@
 
 // leastLoaded returns the endpoint of the placement's service that holds the fewest models and not
 // its own; nil if all hold it.
-func leastLoaded(p *config.Placement, state []Observed) *Observed {
-	var best *Observed
+func leastLoaded(p *config.Placement, state []EndpointState) *EndpointState {
+	var best *EndpointState
 	for i := range state {
 		o := &state[i]
 		if o.Service != p.Service || o.holds(ModelOf(p)) {
@@ -110,7 +110,7 @@
 
 // unloads returns the orders to unload unwanted models and surplus replicas on services that have
 // placements.
-func unloads(placements []*config.Placement, state []Observed) []Order {
+func unloads(placements []*config.Placement, state []EndpointState) []Order {
 	var orders []Order
 	for i := range state {
 		o := &state[i]
@@ -125,7 +125,7 @@
 	return orders
 }
 
-func isSurplus(placements []*config.Placement, state []Observed, o *Observed, m Model) bool {
+func isSurplus(placements []*config.Placement, state []EndpointState, o *EndpointState, m Model) bool {
 	managed := false
 	for _, p := range placements {
 		if p.Service != o.Service {
@@ -139,6 +139,6 @@
 	return managed
 }
 
-func orderFor(o *Observed, m Model, load bool) Order {
+func orderFor(o *EndpointState, m Model, load bool) Order {
 	return Order{Endpoint: o.Endpoint, Address: o.Address, ChecksTokens: o.ChecksTokens, Model: m, Load: load}
 }
--- a/pkg/placement/runner.go
+++ b/pkg/placement/runner.go
@@ -42,7 +42,7 @@
 	Lease  Lease
 	Engine Engine
 	// Endpoints returns the live endpoints of the failure domain, without Models.
-	Endpoints func() []Observed
+	Endpoints func() []EndpointState
 	// Placements returns the configured placements.
 	Placements func() []*config.Placement
 	// Period is the interval between reads of all endpoints.
@@ -114,7 +114,7 @@
 
 // read reads the models of all endpoints. Those that do not answer are left out, so they neither
 // count as holding a model nor get orders.
-func (r *Runner) read(ctx context.Context) []Observed {
+func (r *Runner) read(ctx context.Context) []EndpointState {
 	endpoints := r.Endpoints()
 	answered := make([]bool, len(endpoints))
 	var group errgroup.Group
@@ -130,7 +130,7 @@
 		})
 	}
 	_ = group.Wait()
-	var read []Observed
+	var read []EndpointState
 	for i, ok := range answered {
 		if ok {
 			read = append(read, endpoints[i])
