--- a/pkg/gateway/regions.go
+++ b/pkg/gateway/regions.go
@@ -14,7 +14,7 @@
 // allowedDomains returns the failure domains where the request may be served; nil: any. A request that no region is
 // left for gets the name of none.
 func (u *run) allowedDomains() []string {
-	regions, limited := route.Allowed(u.route, u.organisation)
+	regions, limited := route.AllowedRegions(u.route, u.organisation)
 	if !limited {
 		return nil
 	}
--- a/pkg/route/regions.go
+++ b/pkg/route/regions.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Allowed returns the regions in which a request may be served and its data stored, and whether
+// AllowedRegions returns the regions in which a request may be served and its data stored, and whether
 // they are limited. The organisation may restrict the regions of the route further; it may be nil.
-func Allowed(r *Route, o *Organisation) (regions []string, limited bool) {
+func AllowedRegions(r *Route, o *Organisation) (regions []string, limited bool) {
 	switch {
 	case o == nil || len(o.Regions) == 0:
 		return r.Regions, len(r.Regions) > 0
