--- a/pkg/batch/backoff_test.go
+++ b/pkg/batch/backoff_test.go
@@ -26,7 +26,7 @@
 		clock = clockwork.NewFakeClock()
 		e = &fakeEndpoints{
 			calls:    make(chan *call, 100),
-			batching: route.Batching{Slots: 1, Size: 4, PerCall: 240 * time.Millisecond, PerPiece: 20 * time.Millisecond, RoomBytes: 1000, Retention: 4 * time.Second},
+			batching: route.Batching{Slots: 1, Size: 4, PerCall: 240 * time.Millisecond, PerPiece: 20 * time.Millisecond, MemoryBytes: 1000, Retention: 4 * time.Second},
 			ready:    []fleet.Endpoint{{ID: "a", FailureDomain: "zone"}, {ID: "b", FailureDomain: "zone"}},
 		}
 		b = batch.New(e, e, e, clock, metrics.NewSet(), logging.Discard().For("batch"))
--- a/pkg/batch/batch_test.go
+++ b/pkg/batch/batch_test.go
@@ -37,7 +37,7 @@
 		begin = clock.Now()
 		e = &fakeEndpoints{
 			calls:    make(chan *call, 100),
-			batching: route.Batching{Slots: 1, Size: 4, PerCall: 240 * time.Millisecond, PerPiece: 20 * time.Millisecond, RoomBytes: 1000, Retention: 4 * time.Second},
+			batching: route.Batching{Slots: 1, Size: 4, PerCall: 240 * time.Millisecond, PerPiece: 20 * time.Millisecond, MemoryBytes: 1000, Retention: 4 * time.Second},
 			budget:   100,
 			ready:    []fleet.Endpoint{{ID: "a", FailureDomain: "zone"}},
 		}
@@ -198,7 +198,7 @@
 	})
 
 	It("limits batches while results of other planners take memory, until they expire", func() {
-		e.batching.RoomBytes = 2000
+		e.batching.MemoryBytes = 2000
 		list := pieces("r1", 4, time.Hour)
 		for i := range list {
 			list[i].Bytes = 400
@@ -241,7 +241,7 @@
 	})
 
 	It("processes the pieces of a request in one failure domain if the delay is small", func() {
-		e.batching.RoomBytes = 10_000_000
+		e.batching.MemoryBytes = 10_000_000
 		e.batching.Size = 2
 		e.ready = []fleet.Endpoint{{ID: "a", FailureDomain: "here"}, {ID: "b", FailureDomain: "there"}}
 		submit(pieces("x", 2, time.Hour), nil)
@@ -422,7 +422,7 @@
 	})
 
 	It("keeps large results in the preferred failure domain unless the delay is too long", func() {
-		e.batching.RoomBytes = 10_000_000
+		e.batching.MemoryBytes = 10_000_000
 		e.ready = []fleet.Endpoint{{ID: "here", FailureDomain: "here"}, {ID: "there", FailureDomain: "there"}}
 		large := func(request string) []batch.Piece {
 			list := pieces(request, 1, time.Hour)
@@ -458,7 +458,7 @@
 	})
 
 	It("sends to an endpoint that is slower than one without eligible pieces", func() {
-		e.batching.RoomBytes = 1 << 20
+		e.batching.MemoryBytes = 1 << 20
 		e.ready = []fleet.Endpoint{{ID: "far", FailureDomain: "there"}}
 		done := submit(pieces("r1", 1, time.Hour), nil)
 		first := nextCall()
--- a/pkg/batch/bench_test.go
+++ b/pkg/batch/bench_test.go
@@ -41,7 +41,7 @@
 // newQuarterBatcher returns a batcher and the queue of one of four partitions of 42 endpoints in
 // six failure domains.
 func newQuarterBatcher() (*batch.Batcher, batch.Queue) {
-	fake := &fakeEndpoints{calls: make(chan *call, 1000), batching: route.Batching{Slots: 1, Size: 14, PerCall: 240 * time.Millisecond, PerPiece: 15 * time.Millisecond, RoomBytes: 17 << 20, Retention: 10 * time.Second}, budget: 1}
+	fake := &fakeEndpoints{calls: make(chan *call, 1000), batching: route.Batching{Slots: 1, Size: 14, PerCall: 240 * time.Millisecond, PerPiece: 15 * time.Millisecond, MemoryBytes: 17 << 20, Retention: 10 * time.Second}, budget: 1}
 	for n := range 42 {
 		fake.ready = append(fake.ready, fleet.Endpoint{ID: fmt.Sprintf("mallas-%d", n), Service: "s", FailureDomain: fmt.Sprint("d", n%6)})
 	}
--- a/pkg/batch/capacity.go
+++ b/pkg/batch/capacity.go
@@ -15,7 +15,7 @@
 	now := b.clock.Now()
 	b.applyBackoffs(workers, now)
 	full := batching.CallTime(batching.Size).Seconds()
-	c := Capacity{MemoryBytes: batching.RoomBytes, Size: batching.Size, Backoff: b.minBackoff(workers)}
+	c := Capacity{MemoryBytes: batching.MemoryBytes, Size: batching.Size, Backoff: b.minBackoff(workers)}
 	if c.Backoff > 0 {
 		c.CallTime = batching.CallTime(batching.Size)
 	}
--- a/pkg/batch/inspect.go
+++ b/pkg/batch/inspect.go
@@ -122,7 +122,7 @@
 	}
 	w.external = externalCalls{count: calls, until: now.Add(time.Duration(busy * call))}
 	w.externalBytes, w.externalBytesAt = 0, now
-	if taken := batching.RoomBytes - report.FreeBytes - w.heldBytes(now); taken > 0 {
+	if taken := batching.MemoryBytes - report.FreeBytes - w.heldBytes(now); taken > 0 {
 		w.externalBytes = taken
 	}
 }
--- a/pkg/batch/ledger_test.go
+++ b/pkg/batch/ledger_test.go
@@ -30,7 +30,7 @@
 		clock = clockwork.NewFakeClock()
 		e = &fakeEndpoints{
 			calls:    make(chan *call, 100),
-			batching: route.Batching{Slots: 1, Size: 4, PerCall: 240 * time.Millisecond, PerPiece: 20 * time.Millisecond, RoomBytes: 1000, Retention: 4 * time.Second},
+			batching: route.Batching{Slots: 1, Size: 4, PerCall: 240 * time.Millisecond, PerPiece: 20 * time.Millisecond, MemoryBytes: 1000, Retention: 4 * time.Second},
 			budget:   100,
 			ready:    []fleet.Endpoint{{ID: "a", FailureDomain: "zone"}},
 			reports:  map[string]batch.Report{},
--- a/pkg/batch/scheduling.go
+++ b/pkg/batch/scheduling.go
@@ -27,7 +27,7 @@
 		return noEligiblePieces
 	}
 	small := float64(len(items)) < smallBatchRatio*float64(min(len(all), batching.Size))
-	scarce := freeBytes < batching.RoomBytes/2
+	scarce := freeBytes < batching.MemoryBytes/2
 	if small && scarce && now.Sub(w.idleSince) < memoryWait {
 		s.queue.items = all
 		return waitsForMemory
--- a/pkg/batch/worker.go
+++ b/pkg/batch/worker.go
@@ -82,7 +82,7 @@
 // freeBytes returns the memory available for results.
 func (w *worker) freeBytes(now time.Time, batching *route.Batching) int64 {
 	used := w.reserved + w.external.reserved(now) + w.heldBytes(now) + w.externalBytesLeft(now, batching)
-	return int64(float64(batching.RoomBytes)*(1-w.margin)) - used
+	return int64(float64(batching.MemoryBytes)*(1-w.margin)) - used
 }
 
 // heldBytes returns the memory of the stored results.
@@ -114,9 +114,9 @@
 func (w *worker) recordMemoryShortage(now time.Time, missingBytes int64, batching *route.Batching) {
 	w.backoffUntil = now.Add(minFullBackoff)
 	w.margin = min(maxMargin, w.margin+marginStep)
-	missingBytes -= int64(marginStep * float64(batching.RoomBytes))
+	missingBytes -= int64(marginStep * float64(batching.MemoryBytes))
 	if missingBytes > 0 {
-		w.externalBytes = min(batching.RoomBytes, w.externalBytesLeft(now, batching)+missingBytes)
+		w.externalBytes = min(batching.MemoryBytes, w.externalBytesLeft(now, batching)+missingBytes)
 		w.externalBytesAt = now
 	}
 }
--- a/pkg/route/config.go
+++ b/pkg/route/config.go
@@ -82,8 +82,8 @@
 	// The approximate duration of a call is PerCall plus PerPiece for each piece.
 	PerCall  time.Duration
 	PerPiece time.Duration
-	// RoomBytes is the result memory of one endpoint.
-	RoomBytes int64
+	// MemoryBytes is the result memory of one endpoint.
+	MemoryBytes int64
 	// Retention is how long a result is kept if it is not freed.
 	Retention time.Duration
 }
