--- a/pkg/pipeline/handover_test.go
+++ b/pkg/pipeline/handover_test.go
@@ -68,8 +68,8 @@
 		first.done <- []batch.Result{result("a"), {Reason: batch.Moved}}
 		outcome := outcomeOf(done)
 		Expect(outcome.Reason).To(Equal(batch.Moved))
-		Expect(outcome.Made).To(HaveLen(2))
-		Expect(outcome.Made[0]).To(Equal([]batch.Result{result("a"), {Reason: batch.Moved}}))
+		Expect(outcome.Completed).To(HaveLen(2))
+		Expect(outcome.Completed[0]).To(Equal([]batch.Result{result("a"), {Reason: batch.Moved}}))
 		Expect(m.Freed()).To(BeEmpty())
 	})
 
--- a/pkg/pipeline/plan.go
+++ b/pkg/pipeline/plan.go
@@ -64,7 +64,7 @@
 	// Reason is why there are no results.
 	Reason batch.Reason `json:"reason,omitempty"`
 	// Completed holds the completed results of a plan that has moved, as in Plan.
-	Made [][]batch.Result `json:"made,omitempty"`
+	Completed [][]batch.Result `json:"made,omitempty"`
 	// RetryAfter is the retry delay of a refused request; 0 if there is none.
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
 }
--- a/pkg/pipeline/planner.go
+++ b/pkg/pipeline/planner.go
@@ -184,7 +184,7 @@
 		e.reason = batch.Late
 	}
 	if e.reason == batch.Moved {
-		return Outcome{Reason: batch.Moved, Made: e.made}
+		return Outcome{Reason: batch.Moved, Completed: e.made}
 	}
 	if e.reason != "" {
 		for _, results := range e.made {
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -159,7 +159,7 @@
 		if outcome.Reason != batch.Moved {
 			return outcome
 		}
-		plan.Completed = outcome.Made
+		plan.Completed = outcome.Completed
 		if ctx.Err() != nil {
 			break
 		}
@@ -182,13 +182,13 @@
 		if err != nil {
 			turned[address] = true
 			silent += choose(peers.Answered(err), 0, 1)
-			plan.Completed = outcome.Made
+			plan.Completed = outcome.Completed
 			continue
 		}
 		if outcome.Reason != batch.Moved || r.outdated(part, &plan) {
 			return outcome
 		}
-		plan.Completed = outcome.Made
+		plan.Completed = outcome.Completed
 		if holder, known := r.claims.holder(part); !known || holder.Owner.PeerAddress == address {
 			turned[address] = true
 		}
@@ -240,7 +240,7 @@
 		if outcome.Reason != batch.Moved || ctx.Err() != nil || r.outdated(part, &plan) {
 			return outcome
 		}
-		plan.Completed = outcome.Made
+		plan.Completed = outcome.Completed
 		if holder, known := r.claims.holder(part); known && !r.claims.owns(part) && r.owners.reaches(holder.Owner) {
 			if moved, err := r.handOver(ctx, holder.Owner.PeerAddress, part, plan, false); err == nil && moved.Reason != batch.Moved {
 				return moved
@@ -258,19 +258,19 @@
 	part, plan := call.Part, call.Plan
 	r.divisions.hear(call.Division, "told_with_plan")
 	if division := r.divisions.agreed(); call.Division.Parts > 0 && part.Of != division.Parts && division.Beats(call.Division) {
-		return api.Ran{Outcome: pipeline.Outcome{Reason: batch.Moved, Made: plan.Completed}, Division: division}, nil
+		return api.Ran{Outcome: pipeline.Outcome{Reason: batch.Moved, Completed: plan.Completed}, Division: division}, nil
 	}
 	r.claims.hear([]ownership.Claim{call.Known}, "told_with_plan")
 	holder, known := r.claims.holder(part)
 	if known && !r.claims.owns(part) && r.owners.reaches(holder.Owner) && !call.Relayed {
 		if holder != call.Known {
-			return api.Ran{Outcome: pipeline.Outcome{Reason: batch.Moved, Made: plan.Completed}, Owner: holder}, nil
+			return api.Ran{Outcome: pipeline.Outcome{Reason: batch.Moved, Completed: plan.Completed}, Owner: holder}, nil
 		}
 		outcome, err := r.handOver(ctx, holder.Owner.PeerAddress, part, plan, true)
 		if err == nil {
 			return r.answer(call, outcome), nil
 		}
-		plan.Completed = outcome.Made
+		plan.Completed = outcome.Completed
 	}
 	if !r.claims.owns(part) {
 		if r.leavesOthers() {
@@ -286,7 +286,7 @@
 // not go by it.
 func (r *Router) answer(call api.Run, outcome pipeline.Outcome) api.Ran {
 	holder, _ := r.claims.holder(call.Part)
-	outcome.Made = withTimesLeft(outcome.Made, r.clock.Now())
+	outcome.Completed = withTimesLeft(outcome.Completed, r.clock.Now())
 	ran := api.Ran{Outcome: outcome, Owner: holder}
 	if division := r.divisions.agreed(); division.Beats(call.Division) {
 		ran.Division = division
@@ -316,13 +316,13 @@
 			r.owners.suspect(address)
 		}
 		r.log.WithFields(logrus.Fields{"event": "owner_silent", "id": plan.Request, "owner": address, "answered": peers.Answered(err)}).Warn(err)
-		return pipeline.Outcome{Made: made}, err
+		return pipeline.Outcome{Completed: made}, err
 	}
 	r.owners.trust(address)
 	r.divisions.hear(ran.Division, "told_with_answer")
 	r.claims.hear([]ownership.Claim{ran.Owner}, "told_with_answer")
 	ran.Planner = address
-	ran.Made = withTimes(ran.Made, r.clock.Now())
+	ran.Completed = withTimes(ran.Completed, r.clock.Now())
 	return ran.Outcome, nil
 }
 
