--- a/pkg/batch/backoff_test.go
+++ b/pkg/batch/backoff_test.go
@@ -37,7 +37,7 @@
 		done := make(chan []batch.Result, 1)
 		due := clock.Now().Add(time.Hour)
 		go func() {
-			done <- b.Make(context.Background(), queue, []batch.Piece{{Request: request, Bytes: 10, Due: due, Deadline: due}}, nil)
+			done <- b.Process(context.Background(), queue, []batch.Piece{{Request: request, Bytes: 10, Due: due, Deadline: due}}, nil)
 		}()
 		return done
 	}
--- a/pkg/batch/batch_test.go
+++ b/pkg/batch/batch_test.go
@@ -56,7 +56,7 @@
 	submit := func(list []batch.Piece, read func()) chan []batch.Result {
 		done := make(chan []batch.Result, 1)
 		batcher := b
-		go func() { done <- batcher.Make(context.Background(), queue, list, read) }()
+		go func() { done <- batcher.Process(context.Background(), queue, list, read) }()
 		return done
 	}
 
@@ -309,7 +309,7 @@
 	It("drops abandoned pieces and frees their late results", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan []batch.Result, 1)
-		go func() { done <- b.Make(ctx, queue, pieces("r", 6, time.Hour), nil) }()
+		go func() { done <- b.Process(ctx, queue, pieces("r", 6, time.Hour), nil) }()
 		c := nextCall()
 		cancel()
 		Expect((<-done)[0].Reason).To(Equal(batch.Late))
--- a/pkg/batch/batcher.go
+++ b/pkg/batch/batcher.go
@@ -98,11 +98,11 @@
 // SetRegions enables partitioning by region. It must be called before any work is submitted.
 func (b *Batcher) SetRegions(regions ownership.Regions) { b.regions = regions }
 
-// Make processes pieces of one queue and returns their results in the same order. If ctx ends
+// Process processes pieces of one queue and returns their results in the same order. If ctx ends
 // first, queued pieces are dropped and later results are freed. If onRead is not nil, it is called
 // at most once, when the endpoints have fetched the inputs of all pieces; no piece is retried after
 // that.
-func (b *Batcher) Make(ctx context.Context, at Queue, pieces []Piece, onRead func()) []Result {
+func (b *Batcher) Process(ctx context.Context, at Queue, pieces []Piece, onRead func()) []Result {
 	g := newGroup(len(pieces), onRead)
 	b.budget.Count(at.Service, len(pieces))
 	b.mu.Lock()
--- a/pkg/batch/bench_test.go
+++ b/pkg/batch/bench_test.go
@@ -34,7 +34,7 @@
 		pieces[i] = batch.Piece{Index: i, Bytes: 1 << 16, Due: due, Deadline: due}
 	}
 	for b.Loop() {
-		batcher.Make(ctx, at, pieces, nil)
+		batcher.Process(ctx, at, pieces, nil)
 	}
 }
 
--- a/pkg/batch/ledger_test.go
+++ b/pkg/batch/ledger_test.go
@@ -43,7 +43,7 @@
 		for i := range list {
 			list[i] = batch.Piece{Request: request, Index: i, Bytes: 100, Due: clock.Now().Add(time.Hour), Deadline: clock.Now().Add(time.Hour)}
 		}
-		go func() { done <- b.Make(context.Background(), whole, list, nil) }()
+		go func() { done <- b.Process(context.Background(), whole, list, nil) }()
 		return done
 	}
 
--- a/pkg/pipeline/overload_test.go
+++ b/pkg/pipeline/overload_test.go
@@ -45,7 +45,7 @@
 	done   chan struct{}
 }
 
-func (l *simulatedBatcher) Make(ctx context.Context, _ batch.Queue, pieces []batch.Piece, _ func()) []batch.Result {
+func (l *simulatedBatcher) Process(ctx context.Context, _ batch.Queue, pieces []batch.Piece, _ func()) []batch.Result {
 	a := &pendingRequest{pieces: pieces, done: make(chan struct{})}
 	l.mu.Lock()
 	l.waiting = append(l.waiting, a)
--- a/pkg/pipeline/pipeline_test.go
+++ b/pkg/pipeline/pipeline_test.go
@@ -22,7 +22,7 @@
 	RunSpecs(t, "pipeline")
 }
 
-// stageCall is one call to Make.
+// stageCall is one call to Process.
 type stageCall struct {
 	at     batch.Queue
 	pieces []batch.Piece
@@ -50,7 +50,7 @@
 	freed []string
 }
 
-func (m *fakeBatcher) Make(ctx context.Context, at batch.Queue, pieces []batch.Piece, read func()) []batch.Result {
+func (m *fakeBatcher) Process(ctx context.Context, at batch.Queue, pieces []batch.Piece, read func()) []batch.Result {
 	stage := &stageCall{at, pieces, read, make(chan []batch.Result, 1)}
 	m.stages <- stage
 	select {
--- a/pkg/pipeline/planner.go
+++ b/pkg/pipeline/planner.go
@@ -15,9 +15,9 @@
 
 // Batcher processes pieces in batches. It is implemented by batch.Batcher.
 type Batcher interface {
-	// Make returns a result for each piece when all are settled. If read is not nil, it is called
+	// Process returns a result for each piece when all are settled. If read is not nil, it is called
 	// when the inputs have been read.
-	Make(ctx context.Context, at batch.Queue, pieces []batch.Piece, read func()) []batch.Result
+	Process(ctx context.Context, at batch.Queue, pieces []batch.Piece, read func()) []batch.Result
 	// Free discards results.
 	Free(results []batch.Result)
 	// Inspect queries the endpoints of queues whose state is not known.
@@ -214,7 +214,7 @@
 		return
 	}
 	begin := e.clock.Now()
-	results := e.pieces.Make(ctx, queue, e.stagePieces(i, stage), e.onInputsRead(i))
+	results := e.pieces.Process(ctx, queue, e.stagePieces(i, stage), e.onInputsRead(i))
 	reason := firstReason(results)
 	e.log.WithFields(logrus.Fields{
 		"event": "stage", "id": e.plan.Request, "stage": i, "service": stage.Service, "pieces": len(e.missing[i]),
--- a/service/handover/failures_test.go
+++ b/service/handover/failures_test.go
@@ -21,7 +21,7 @@
 // instantPieces makes pieces at once.
 type instantPieces struct{}
 
-func (instantPieces) Make(_ context.Context, _ batch.Queue, pieces []batch.Piece, _ func()) []batch.Result {
+func (instantPieces) Process(_ context.Context, _ batch.Queue, pieces []batch.Piece, _ func()) []batch.Result {
 	results := make([]batch.Result, len(pieces))
 	for i := range results {
 		results[i] = batch.Result{Handle: "h", Domain: "made"}
@@ -53,9 +53,9 @@
 	begin chan struct{}
 }
 
-func (s slowPieces) Make(ctx context.Context, at batch.Queue, pieces []batch.Piece, read func()) []batch.Result {
+func (s slowPieces) Process(ctx context.Context, at batch.Queue, pieces []batch.Piece, read func()) []batch.Result {
 	<-s.begin
-	return s.instantPieces.Make(ctx, at, pieces, read)
+	return s.instantPieces.Process(ctx, at, pieces, read)
 }
 
 // routerOf is the router of an instance that knows no other.
--- a/service/handover/instance_test.go
+++ b/service/handover/instance_test.go
@@ -48,7 +48,7 @@
 	done   chan []batch.Result
 }
 
-func (h *heldPieces) Make(ctx context.Context, at batch.Queue, pieces []batch.Piece, _ func()) []batch.Result {
+func (h *heldPieces) Process(ctx context.Context, at batch.Queue, pieces []batch.Piece, _ func()) []batch.Result {
 	call := heldCall{pieces, make(chan []batch.Result, 1)}
 	h.mu.Lock()
 	if h.released[pipeline.Part{Number: at.Part, Of: at.Parts}] {
