--- a/pkg/batch/partition_test.go
+++ b/pkg/batch/partition_test.go
@@ -128,7 +128,7 @@
 			e.ready = append(e.ready, fleet.Endpoint{ID: fmt.Sprint("e", n), Service: "s"})
 		}
 		results := []batch.Result{{Handle: "h", Endpoint: "e3", Queue: batch.Queue{Service: "s", Parts: 1}}, {Handle: "i", Endpoint: "gone", Queue: batch.Queue{Service: "s", Parts: 1}}}
-		moved := b.Rehome(results, 4)
+		moved := b.Repartition(results, 4)
 		Expect(batch.PartIDs(moved[0].Queue, e.ready)).To(ContainElement("e3"))
 		Expect(moved[0].Queue.Parts).To(Equal(4))
 		Expect(moved[1]).To(Equal(results[1]))
--- a/pkg/batch/repartition.go
+++ b/pkg/batch/repartition.go
@@ -20,9 +20,9 @@
 	return split
 }
 
-// Rehome returns results with their queues changed to those of a new number of partitions, so that
+// Repartition returns results with their queues changed to those of a new number of partitions, so that
 // the new owners are notified when the results are freed.
-func (b *Batcher) Rehome(results []Result, parts int) []Result {
+func (b *Batcher) Repartition(results []Result, parts int) []Result {
 	queueOf := b.queueLookup(parts)
 	moved := make([]Result, len(results))
 	for i, r := range results {
--- a/service/handover/instance_test.go
+++ b/service/handover/instance_test.go
@@ -422,7 +422,7 @@
 
 func (rehoming) Free([]batch.Result) {}
 
-func (rehoming) Rehome(results []batch.Result, parts int) []batch.Result {
+func (rehoming) Repartition(results []batch.Result, parts int) []batch.Result {
 	moved := slices.Clone(results)
 	for i := range moved {
 		moved[i].Queue.Part, moved[i].Queue.Parts = 0, parts
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -62,8 +62,8 @@
 type makers interface {
 	// Free gives results up where they were made.
 	Free(results []batch.Result)
-	// Rehome returns results with the queues of their makers among so many parts.
-	Rehome(results []batch.Result, parts int) []batch.Result
+	// Repartition returns results with the queues of their makers among so many parts.
+	Repartition(results []batch.Result, parts int) []batch.Result
 }
 
 var _ makers = (*batch.Batcher)(nil)
@@ -359,7 +359,7 @@
 	if !slices.ContainsFunc(results, made) {
 		return results
 	}
-	return r.makers.Rehome(results, parts)
+	return r.makers.Repartition(results, parts)
 }
 
 func (r *Router) freeMade(stages [][]batch.Result) {
