--- a/pkg/batch/ledger.go
+++ b/pkg/batch/ledger.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// Adopt tracks results made for another planner so that their memory is accounted for.
-func (b *Batcher) Adopt(results []Result) {
+// TrackResults tracks results made for another planner so that their memory is accounted for.
+func (b *Batcher) TrackResults(results []Result) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range results {
--- a/pkg/pipeline/overload_test.go
+++ b/pkg/pipeline/overload_test.go
@@ -102,7 +102,7 @@
 func (*simulatedBatcher) Take(int, int, batch.Ledger) bool             { return false }
 func (*simulatedBatcher) Resume(int, int)                              {}
 func (*simulatedBatcher) Split(batch.Ledger, int) map[int]batch.Ledger { return nil }
-func (*simulatedBatcher) Adopt([]batch.Result)                         {}
+func (*simulatedBatcher) TrackResults([]batch.Result)                  {}
 
 // Without reservations, less urgent plans displace urgent ones under overload. The less urgent ones
 // must not be starved either.
--- a/pkg/pipeline/pipeline_test.go
+++ b/pkg/pipeline/pipeline_test.go
@@ -87,7 +87,7 @@
 
 func (m *fakeBatcher) Split(batch.Ledger, int) map[int]batch.Ledger { return nil }
 
-func (m *fakeBatcher) Adopt([]batch.Result) {}
+func (m *fakeBatcher) TrackResults([]batch.Result) {}
 
 func (m *fakeBatcher) Capacity(batch.Queue) batch.Capacity { return m.capacity }
 
--- a/pkg/pipeline/planner.go
+++ b/pkg/pipeline/planner.go
@@ -30,8 +30,8 @@
 	Resume(part, parts int)
 	// Split divides a ledger by the partitions of a new number of partitions.
 	Split(ledger batch.Ledger, parts int) map[int]batch.Ledger
-	// Adopt tracks results made for another planner.
-	Adopt(results []batch.Result)
+	// TrackResults tracks results made for another planner.
+	TrackResults(results []batch.Result)
 	// Capacity returns the capacity of the endpoints of a queue.
 	Capacity(at batch.Queue) batch.Capacity
 }
@@ -78,7 +78,7 @@
 	plan.dropMalformed()
 	p.inspect(ctx, part, &plan)
 	for _, made := range plan.Completed {
-		p.pieces.Adopt(made)
+		p.pieces.TrackResults(made)
 	}
 	forecast, admitted := p.admit(part, &plan)
 	p.log.WithFields(logrus.Fields{
--- a/service/handover/failures_test.go
+++ b/service/handover/failures_test.go
@@ -41,7 +41,7 @@
 
 func (instantPieces) Split(batch.Ledger, int) map[int]batch.Ledger { return nil }
 
-func (instantPieces) Adopt([]batch.Result) {}
+func (instantPieces) TrackResults([]batch.Result) {}
 
 func (instantPieces) Capacity(batch.Queue) batch.Capacity {
 	return batch.Capacity{PerSecond: 10, AtOnce: 10, CallTime: time.Millisecond}
--- a/service/handover/instance_test.go
+++ b/service/handover/instance_test.go
@@ -120,7 +120,7 @@
 	return split
 }
 
-func (h *heldPieces) Adopt(results []batch.Result) {
+func (h *heldPieces) TrackResults(results []batch.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.adopted = append(h.adopted, results...)
