--- a/pkg/batch/ledger.go
+++ b/pkg/batch/ledger.go
@@ -85,11 +85,11 @@
 	return account
 }
 
-// Take starts the work of a partition with the state of its previous planner. Where this planner
+// Acquire starts the work of a partition with the state of its previous planner. Where this planner
 // has its own measurements, the worse of the two applies. For endpoints at which a call of this
 // planner succeeded recently, only running calls and stored results are imported, since the other
-// planner may have been partitioned off. Take reports whether there is such an endpoint.
-func (b *Batcher) Take(part, parts int, ledger Ledger) (planned bool) {
+// planner may have been partitioned off. Acquire reports whether there is such an endpoint.
+func (b *Batcher) Acquire(part, parts int, ledger Ledger) (planned bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
--- a/pkg/pipeline/handover.go
+++ b/pkg/pipeline/handover.go
@@ -23,7 +23,7 @@
 
 // Acquire takes over a partition with the state of its previous planner.
 func (p *Planner) Acquire(part Part, ledger Ledger) {
-	if planned := p.pieces.Take(part.Number, part.Of, ledger.Pieces); planned {
+	if planned := p.pieces.Acquire(part.Number, part.Of, ledger.Pieces); planned {
 		return
 	}
 	p.mu.Lock()
--- a/pkg/pipeline/overload_test.go
+++ b/pkg/pipeline/overload_test.go
@@ -99,7 +99,7 @@
 func (*simulatedBatcher) Free([]batch.Result)                          {}
 func (*simulatedBatcher) Inspect(context.Context, []batch.Queue)       {}
 func (*simulatedBatcher) Release(int, int) batch.Ledger                { return batch.Ledger{} }
-func (*simulatedBatcher) Take(int, int, batch.Ledger) bool             { return false }
+func (*simulatedBatcher) Acquire(int, int, batch.Ledger) bool          { return false }
 func (*simulatedBatcher) Resume(int, int)                              {}
 func (*simulatedBatcher) Split(batch.Ledger, int) map[int]batch.Ledger { return nil }
 func (*simulatedBatcher) TrackResults([]batch.Result)                  {}
--- a/pkg/pipeline/pipeline_test.go
+++ b/pkg/pipeline/pipeline_test.go
@@ -81,7 +81,7 @@
 
 func (m *fakeBatcher) Release(int, int) batch.Ledger { return batch.Ledger{} }
 
-func (m *fakeBatcher) Take(int, int, batch.Ledger) bool { return false }
+func (m *fakeBatcher) Acquire(int, int, batch.Ledger) bool { return false }
 
 func (m *fakeBatcher) Resume(int, int) {}
 
--- a/pkg/pipeline/planner.go
+++ b/pkg/pipeline/planner.go
@@ -22,11 +22,11 @@
 	Free(results []batch.Result)
 	// Inspect queries the endpoints of queues whose state is not known.
 	Inspect(ctx context.Context, queues []batch.Queue)
-	// Release stops the work of a partition and returns the state of its endpoints. Take starts it
+	// Release stops the work of a partition and returns the state of its endpoints. Acquire starts it
 	// with the state from another planner and reports whether this planner had been active
 	// throughout. Resume starts it without state.
 	Release(part, parts int) batch.Ledger
-	Take(part, parts int, ledger batch.Ledger) (planned bool)
+	Acquire(part, parts int, ledger batch.Ledger) (planned bool)
 	Resume(part, parts int)
 	// Split divides a ledger by the partitions of a new number of partitions.
 	Split(ledger batch.Ledger, parts int) map[int]batch.Ledger
--- a/service/handover/failures_test.go
+++ b/service/handover/failures_test.go
@@ -35,7 +35,7 @@
 
 func (instantPieces) Release(int, int) batch.Ledger { return batch.Ledger{} }
 
-func (instantPieces) Take(int, int, batch.Ledger) bool { return false }
+func (instantPieces) Acquire(int, int, batch.Ledger) bool { return false }
 
 func (instantPieces) Resume(int, int) {}
 
--- a/service/handover/instance_test.go
+++ b/service/handover/instance_test.go
@@ -87,7 +87,7 @@
 	return batch.Ledger{Endpoints: []batch.EndpointLedger{{Endpoint: "e", Calls: 1}}}
 }
 
-func (h *heldPieces) Take(part, parts int, ledger batch.Ledger) bool {
+func (h *heldPieces) Acquire(part, parts int, ledger batch.Ledger) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.setReleased(part, parts, false)
