--- a/pkg/batch/batcher.go
+++ b/pkg/batch/batcher.go
@@ -79,10 +79,10 @@
 const batchSizeWeight = 0.1
 
 // New returns an idle batcher. It registers its counters in set.
-func New(caller Caller, known Registry, budget Budget, clock clockwork.Clock, set *metrics.Set, log *logrus.Entry) *Batcher {
+func New(caller Caller, registry Registry, budget Budget, clock clockwork.Clock, set *metrics.Set, log *logrus.Entry) *Batcher {
 	return &Batcher{
 		caller:       caller,
-		registry:     known,
+		registry:     registry,
 		budget:       budget,
 		clock:        clock,
 		log:          log,
--- a/pkg/batch/fake_test.go
+++ b/pkg/batch/fake_test.go
@@ -35,7 +35,7 @@
 	c.answer <- reply{results, batch.Made}
 }
 
-// fakeEndpoints implements Caller, Budget and Known for tests.
+// fakeEndpoints implements Caller, Budget and Registry for tests.
 type fakeEndpoints struct {
 	calls    chan *call
 	batching route.Batching
--- a/pkg/pipeline/admission.go
+++ b/pkg/pipeline/admission.go
@@ -129,7 +129,7 @@
 
 // stageTime returns the forecast duration of a stage that starts after the given delay.
 func (p *Planner) stageTime(queue batch.Queue, plan *Plan, pieces int, start time.Duration) time.Duration {
-	capacity := p.pieces.Capacity(queue)
+	capacity := p.batcher.Capacity(queue)
 	if capacity.PerSecond <= 0 && capacity.Backoff > 0 {
 		return max(0, capacity.Backoff-start) + capacity.CallTime
 	}
--- a/pkg/pipeline/handover.go
+++ b/pkg/pipeline/handover.go
@@ -11,7 +11,7 @@
 // Release gives up a partition: pending plans end as moved, with their completed results, when
 // their running calls have ended. It returns the state of the partition.
 func (p *Planner) Release(part Part) Ledger {
-	ledger := Ledger{Pieces: p.pieces.Release(part.Number, part.Of)}
+	ledger := Ledger{Pieces: p.batcher.Release(part.Number, part.Of)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ledger.LatenessMs = map[int]int64{}
@@ -23,7 +23,7 @@
 
 // Acquire takes over a partition with the state of its previous planner.
 func (p *Planner) Acquire(part Part, ledger Ledger) {
-	if planned := p.pieces.Acquire(part.Number, part.Of, ledger.Pieces); planned {
+	if planned := p.batcher.Acquire(part.Number, part.Of, ledger.Pieces); planned {
 		return
 	}
 	p.mu.Lock()
@@ -37,14 +37,14 @@
 // Split divides a ledger by the partitions of a new number of partitions.
 func (p *Planner) Split(ledger Ledger, parts int) map[Part]Ledger {
 	split := map[Part]Ledger{}
-	for number, pieces := range p.pieces.Split(ledger.Pieces, parts) {
+	for number, pieces := range p.batcher.Split(ledger.Pieces, parts) {
 		split[Part{Number: number, Of: parts}] = Ledger{Pieces: pieces, LatenessMs: ledger.LatenessMs}
 	}
 	return split
 }
 
 // Resume takes over a partition without previous state.
-func (p *Planner) Resume(part Part) { p.pieces.Resume(part.Number, part.Of) }
+func (p *Planner) Resume(part Part) { p.batcher.Resume(part.Number, part.Of) }
 
 // inspect queries the endpoints of a plan's stages if their state is not known.
 func (p *Planner) inspect(ctx context.Context, part Part, plan *Plan) {
@@ -55,7 +55,7 @@
 			queues = append(queues, queue)
 		}
 	}
-	p.pieces.Inspect(ctx, queues)
+	p.batcher.Inspect(ctx, queues)
 }
 
 // dropMalformed drops results received from a peer that do not match the plan.
--- a/pkg/pipeline/pipeline_test.go
+++ b/pkg/pipeline/pipeline_test.go
@@ -41,7 +41,7 @@
 	m.done <- results
 }
 
-// fakeBatcher implements Pieces for tests.
+// fakeBatcher implements Batcher for tests.
 type fakeBatcher struct {
 	stages   chan *stageCall
 	capacity batch.Capacity
--- a/pkg/pipeline/planner.go
+++ b/pkg/pipeline/planner.go
@@ -38,9 +38,9 @@
 
 // Planner executes the stages of requests. It is safe for concurrent use.
 type Planner struct {
-	pieces Batcher
-	clock  clockwork.Clock
-	log    *logrus.Entry
+	batcher Batcher
+	clock   clockwork.Clock
+	log     *logrus.Entry
 
 	admitted *metrics.Counter
 	refused  *metrics.Counter
@@ -54,9 +54,9 @@
 }
 
 // NewPlanner returns an idle planner. It registers its counters in set.
-func NewPlanner(pieces Batcher, clock clockwork.Clock, set *metrics.Set, log *logrus.Entry) *Planner {
+func NewPlanner(batcher Batcher, clock clockwork.Clock, set *metrics.Set, log *logrus.Entry) *Planner {
 	return &Planner{
-		pieces:   pieces,
+		batcher:  batcher,
 		clock:    clock,
 		log:      log,
 		admitted: set.NewCounter(`cobaltcroft_plans_total{outcome="admitted"}`),
@@ -78,7 +78,7 @@
 	plan.dropMalformed()
 	p.inspect(ctx, part, &plan)
 	for _, made := range plan.Completed {
-		p.pieces.TrackResults(made)
+		p.batcher.TrackResults(made)
 	}
 	forecast, admitted := p.admit(part, &plan)
 	p.log.WithFields(logrus.Fields{
@@ -188,7 +188,7 @@
 	}
 	if e.reason != "" {
 		for _, results := range e.made {
-			e.pieces.Free(results)
+			e.batcher.Free(results)
 		}
 		return Outcome{Reason: e.reason}
 	}
@@ -214,7 +214,7 @@
 		return
 	}
 	begin := e.clock.Now()
-	results := e.pieces.Process(ctx, queue, e.stagePieces(i, stage), e.onInputsRead(i))
+	results := e.batcher.Process(ctx, queue, e.stagePieces(i, stage), e.onInputsRead(i))
 	reason := firstReason(results)
 	e.log.WithFields(logrus.Fields{
 		"event": "stage", "id": e.plan.Request, "stage": i, "service": stage.Service, "pieces": len(e.missing[i]),
@@ -297,7 +297,7 @@
 	e.mu.Unlock()
 	offset := time.Duration(0)
 	if e.remainingStages[i] > 1 {
-		offset = time.Duration(e.remainingStages[i]-1) * e.pieces.Capacity(queueOf(e.part, stage.Service)).CallTime
+		offset = time.Duration(e.remainingStages[i]-1) * e.batcher.Capacity(queueOf(e.part, stage.Service)).CallTime
 	}
 	pieces := make([]batch.Piece, len(e.missing[i]))
 	for n, index := range e.missing[i] {
@@ -352,7 +352,7 @@
 	scarce := false
 	for _, before := range stage.After {
 		read := &e.plan.Stages[before]
-		scarce = scarce || e.pieces.Capacity(queueOf(e.part, read.Service)).MemoryScarce(read.Bytes)
+		scarce = scarce || e.batcher.Capacity(queueOf(e.part, read.Service)).MemoryScarce(read.Bytes)
 	}
 	if !scarce {
 		return nil
@@ -370,7 +370,7 @@
 		results := e.made[before]
 		e.made[before] = nil
 		e.mu.Unlock()
-		e.pieces.Free(results)
+		e.batcher.Free(results)
 	}
 }
 
