--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -232,7 +232,7 @@
 	g.budget = retry.NewBudget(g.clock, budgetBounds(s), g.instances)
 	g.pieces = retry.NewBudget(g.clock, budgetBounds(s), g.instances)
 	g.batcher = batch.New(&platform.Stages{Conns: g.conns, Clock: g.clock}, known{g.follower, g.rests}, g.pieces, g.clock, g.metrics, g.logs.For("batch"))
-	g.batcher.ByRegion(g.regions)
+	g.batcher.SetRegions(g.regions)
 	planner := pipeline.NewPlanner(g.batcher, g.clock, g.metrics, g.logs.For("pipeline"))
 	g.router = handover.NewRouter(handover.Options{
 		Self:     self,
@@ -345,8 +345,8 @@
 	return k.follower.View().Fleet.Endpoint(id)
 }
 
-// Rest implements batch.Known.
-func (k known) Rest(id string) time.Duration { return k.rests.Remaining(id) }
+// Backoff implements batch.Known.
+func (k known) Backoff(id string) time.Duration { return k.rests.Remaining(id) }
 
 // Run runs the instance until it has stopped as planned.
 func (g *Gateway) Run(signals <-chan os.Signal) error {
--- a/pkg/pipeline/resuming.go
+++ b/pkg/pipeline/handover.go
@@ -8,10 +8,10 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/batch"
 )
 
-// Release gives a part up: plans that wait end as moved, with what was made of them, as soon as
-// their calls under way have ended. It returns what is known of the part.
+// Release gives up a partition: pending plans end as moved, with their completed results, when
+// their running calls have ended. It returns the state of the partition.
 func (p *Planner) Release(part Part) Ledger {
-	ledger := Ledger{Pieces: p.pieces.Release(part.Number, part.Of)}
+	ledger := Ledger{Pieces: p.batcher.Release(part.Number, part.Of)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ledger.LatenessMs = map[int]int64{}
@@ -21,9 +21,9 @@
 	return ledger
 }
 
-// Take takes a part over with what its planner before knew.
-func (p *Planner) Take(part Part, ledger Ledger) {
-	if planned := p.pieces.Take(part.Number, part.Of, ledger.Pieces); planned {
+// Acquire takes over a partition with the state of its previous planner.
+func (p *Planner) Acquire(part Part, ledger Ledger) {
+	if planned := p.batcher.Acquire(part.Number, part.Of, ledger.Pieces); planned {
 		return
 	}
 	p.mu.Lock()
@@ -34,20 +34,19 @@
 	}
 }
 
-// Split returns what a ledger tells by the parts that its endpoints fall to when they are cut into
-// so many.
+// Split divides a ledger by the partitions of a new number of partitions.
 func (p *Planner) Split(ledger Ledger, parts int) map[Part]Ledger {
 	split := map[Part]Ledger{}
-	for number, pieces := range p.pieces.Split(ledger.Pieces, parts) {
+	for number, pieces := range p.batcher.Split(ledger.Pieces, parts) {
 		split[Part{Number: number, Of: parts}] = Ledger{Pieces: pieces, LatenessMs: ledger.LatenessMs}
 	}
 	return split
 }
 
-// Resume takes a part over of which nothing is known.
-func (p *Planner) Resume(part Part) { p.pieces.Resume(part.Number, part.Of) }
+// Resume takes over a partition without previous state.
+func (p *Planner) Resume(part Part) { p.batcher.Resume(part.Number, part.Of) }
 
-// inspect has the endpoints of a plan's stages asked what they do, if that is not known.
+// inspect queries the endpoints of a plan's stages if their state is not known.
 func (p *Planner) inspect(ctx context.Context, part Part, plan *Plan) {
 	var queues []batch.Queue
 	for _, stage := range plan.Stages {
@@ -56,25 +55,25 @@
 			queues = append(queues, queue)
 		}
 	}
-	p.pieces.Inspect(ctx, queues)
+	p.batcher.Inspect(ctx, queues)
 }
 
-// dropMalformed leaves out what a peer says was made if it does not fit the plan.
+// dropMalformed drops results received from a peer that do not match the plan.
 func (p *Plan) dropMalformed() {
-	if len(p.Made) != len(p.Stages) {
-		p.Made = nil
+	if len(p.Completed) != len(p.Stages) {
+		p.Completed = nil
 		return
 	}
-	for i, made := range p.Made {
+	for i, made := range p.Completed {
 		if len(made) != p.Stages[i].Pieces {
-			p.Made[i] = nil
+			p.Completed[i] = nil
 		}
 	}
 }
 
-// begun tells whether anything of the plan was made.
-func (p *Plan) begun() bool {
-	for _, made := range p.Made {
+// started reports whether any piece of the plan is completed.
+func (p *Plan) started() bool {
+	for _, made := range p.Completed {
 		if slices.ContainsFunc(made, func(r batch.Result) bool { return r.Handle != "" }) {
 			return true
 		}
@@ -82,30 +81,30 @@
 	return false
 }
 
-// missing returns, for each stage, the indices of the pieces that are still to be made. A stage
-// that was made for others, which have read it, needs nothing, though its results are gone.
+// missing returns, for each stage, the indices of the pieces to be processed. A stage whose readers
+// are all completed needs none, even if its results are gone.
 func (p *Plan) missing() [][]int {
 	missing := make([][]int, len(p.Stages))
 	read := make([]bool, len(p.Stages))
-	awaited := make([]bool, len(p.Stages))
+	needed := make([]bool, len(p.Stages))
 	for i := len(p.Stages) - 1; i >= 0; i-- {
 		stage := &p.Stages[i]
-		if !read[i] || awaited[i] {
+		if !read[i] || needed[i] {
 			missing[i] = p.notMade(i)
 		}
 		for _, before := range stage.After {
 			read[before] = read[before] || stage.Pieces > 0
-			awaited[before] = awaited[before] || len(missing[i]) > 0
+			needed[before] = needed[before] || len(missing[i]) > 0
 		}
 	}
 	return missing
 }
 
-// notMade returns the indices of the pieces of a stage of which no result is known.
+// notMade returns the indices of the pieces of a stage without a known result.
 func (p *Plan) notMade(stage int) []int {
 	var indices []int
 	for n := range p.Stages[stage].Pieces {
-		if p.Made == nil || p.Made[stage] == nil || p.Made[stage][n].Handle == "" {
+		if p.Completed == nil || p.Completed[stage] == nil || p.Completed[stage][n].Handle == "" {
 			indices = append(indices, n)
 		}
 	}
--- a/service/handover/failures_test.go
+++ b/service/handover/failures_test.go
@@ -21,7 +21,7 @@
 // instantPieces makes pieces at once.
 type instantPieces struct{}
 
-func (instantPieces) Make(_ context.Context, _ batch.Queue, pieces []batch.Piece, _ func()) []batch.Result {
+func (instantPieces) Process(_ context.Context, _ batch.Queue, pieces []batch.Piece, _ func()) []batch.Result {
 	results := make([]batch.Result, len(pieces))
 	for i := range results {
 		results[i] = batch.Result{Handle: "h", Domain: "made"}
@@ -35,16 +35,16 @@
 
 func (instantPieces) Release(int, int) batch.Ledger { return batch.Ledger{} }
 
-func (instantPieces) Take(int, int, batch.Ledger) bool { return false }
+func (instantPieces) Acquire(int, int, batch.Ledger) bool { return false }
 
 func (instantPieces) Resume(int, int) {}
 
 func (instantPieces) Split(batch.Ledger, int) map[int]batch.Ledger { return nil }
 
-func (instantPieces) Adopt([]batch.Result) {}
+func (instantPieces) TrackResults([]batch.Result) {}
 
 func (instantPieces) Capacity(batch.Queue) batch.Capacity {
-	return batch.Capacity{PerSecond: 10, AtOnce: 10, Call: time.Millisecond}
+	return batch.Capacity{PerSecond: 10, AtOnce: 10, CallTime: time.Millisecond}
 }
 
 // slowPieces makes pieces when it is told to.
@@ -53,9 +53,9 @@
 	begin chan struct{}
 }
 
-func (s slowPieces) Make(ctx context.Context, at batch.Queue, pieces []batch.Piece, read func()) []batch.Result {
+func (s slowPieces) Process(ctx context.Context, at batch.Queue, pieces []batch.Piece, read func()) []batch.Result {
 	<-s.begin
-	return s.instantPieces.Make(ctx, at, pieces, read)
+	return s.instantPieces.Process(ctx, at, pieces, read)
 }
 
 // routerOf is the router of an instance that knows no other.
--- a/service/handover/instance_test.go
+++ b/service/handover/instance_test.go
@@ -48,7 +48,7 @@
 	done   chan []batch.Result
 }
 
-func (h *heldPieces) Make(ctx context.Context, at batch.Queue, pieces []batch.Piece, _ func()) []batch.Result {
+func (h *heldPieces) Process(ctx context.Context, at batch.Queue, pieces []batch.Piece, _ func()) []batch.Result {
 	call := heldCall{pieces, make(chan []batch.Result, 1)}
 	h.mu.Lock()
 	if h.released[pipeline.Part{Number: at.Part, Of: at.Parts}] {
@@ -87,7 +87,7 @@
 	return batch.Ledger{Endpoints: []batch.EndpointLedger{{Endpoint: "e", Calls: 1}}}
 }
 
-func (h *heldPieces) Take(part, parts int, ledger batch.Ledger) bool {
+func (h *heldPieces) Acquire(part, parts int, ledger batch.Ledger) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.setReleased(part, parts, false)
@@ -120,7 +120,7 @@
 	return split
 }
 
-func (h *heldPieces) Adopt(results []batch.Result) {
+func (h *heldPieces) TrackResults(results []batch.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.adopted = append(h.adopted, results...)
@@ -422,7 +422,7 @@
 
 func (rehoming) Free([]batch.Result) {}
 
-func (rehoming) Rehome(results []batch.Result, parts int) []batch.Result {
+func (rehoming) Repartition(results []batch.Result, parts int) []batch.Result {
 	moved := slices.Clone(results)
 	for i := range moved {
 		moved[i].Queue.Part, moved[i].Queue.Parts = 0, parts
