--- a/pkg/quarantine/digest.go
+++ b/pkg/quarantine/digest.go
@@ -1,5 +1,5 @@
-// Package quarantine finds the requests that end the endpoints which run them, from what all
-// instances have seen, so that they are refused.
+// Package quarantine detects requests that crash the endpoints running them, based on the crashes
+// seen by all instances, so that these requests can be refused.
 package quarantine
 
 import (
@@ -12,16 +12,16 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
-// digestSize is in bytes. Two of a billion requests have the same digest by chance with a
-// likelihood of 1.5e-21, and none is found on purpose: one organisation can't have another's refused.
+// digestSize is the size of a digest in bytes. It is large enough that collisions cannot be forced,
+// so one organisation cannot get another's requests refused.
 const digestSize = 16
 
-// Digest tells which tries are the same request: those of one caller with the same path and body,
-// whatever their ids, headers and connections.
+// Digest identifies a request across attempts: the same caller, path and body, regardless of IDs,
+// headers and connections.
 type Digest [digestSize]byte
 
-// Sum returns the digest of a request. The caller is its organisation, whose keys may change; empty
-// where none is needed. The path is host and path as they came, query included.
+// Sum returns the digest of a request. The caller is the organisation, whose keys may change; empty
+// if the route needs none. Host and path are as received, including the query.
 func Sum(caller, host, path string, body []byte) Digest {
 	h := sha256.New()
 	writeField(h, caller)
@@ -31,7 +31,7 @@
 	return Digest(h.Sum(nil)[:digestSize])
 }
 
-// writeField writes a text so that where it ends can't be mistaken.
+// writeField writes a field with its length, so that field boundaries are unambiguous.
 func writeField(h hash.Hash, text string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(text)))
@@ -39,15 +39,15 @@
 	_, _ = io.WriteString(h, text)
 }
 
-// String is the digest as logs and operators name it.
+// String returns the hexadecimal form used in logs and by operators.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseDigest reads a digest as String writes it.
+// ParseDigest parses the result of Digest.String.
 func ParseDigest(text string) (Digest, error) {
 	var d Digest
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != len(d) {
-		return d, problem.New(problem.Invalid, "name the digest of the request's lines in the logs", "%q is no digest of %d bytes in hexadecimal", text, len(d))
+		return d, problem.New(problem.Invalid, "pass the digest from the log lines of the request", "%q is not a hexadecimal digest of %d bytes", text, len(d))
 	}
 	copy(d[:], data)
 	return d, nil
--- a/pkg/quarantine/end.go
+++ b/pkg/quarantine/end.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// End says that a life of an endpoint ended while it ran a request.
+// End records that an endpoint crashed while running a request.
 type End struct {
 	Digest Digest
-	// Life is the ID of that life: an endpoint that starts again has another one.
+	// Life identifies the incarnation of the endpoint; a restarted endpoint has a new one.
 	Life string
-	// Age is the time since then. It travels in place of a time of day, which differs by machine.
+	// Age is the time since the crash. Instances exchange ages because their clocks differ.
 	Age time.Duration
-	// Cleared says that the request has run since without ending its endpoint: this end was not its doing.
+	// Cleared is set if the request has since run without a crash, so it did not cause this one.
 	Cleared bool
 }
--- a/pkg/quarantine/judging.go
+++ b/pkg/quarantine/judging.go
@@ -6,70 +6,72 @@
 	"github.com/sirupsen/logrus"
 )
 
-// judgeAll judges a request, and those under which the same endpoints ended.
-func (t *Table) judgeAll(r *request) {
-	for life := range r.ends {
-		for d := range t.under[life] {
-			t.judge(d)
+// reevaluateAll reevaluates a request and all requests that were running on the same crashed
+// endpoints.
+func (t *Table) reevaluateAll(r *request) {
+	for incarnation := range r.crashes {
+		for d := range t.requestsByIncarnation[incarnation] {
+			t.reevaluate(d)
 		}
 	}
 }
 
-// judge decides whether a request is refused. An end counts unless another request explains it better:
-// one that is itself over the bound, and under which more endpoints ended. Where two ran beside each
-// other each time, which happens in services of three endpoints, neither is refused until it shows which
-// of them it was: they go apart, one ends another endpoint, and the other runs well. So a request that ran
-// beside such a one is not taken for it, and all who know the same ends come to the same decision.
-func (t *Table) judge(d Digest) {
+// reevaluate decides whether a request is quarantined. A crash counts unless another request
+// explains it better: one that is over the threshold itself and has more crashes. If two requests
+// were running at each crash, which happens in services with few endpoints, neither is quarantined
+// until they are told apart: they are sent to different endpoints, where only one of them crashes
+// again. The decision depends only on the set of crashes, so all instances that know the same
+// crashes decide alike.
+func (t *Table) reevaluate(d Digest) {
 	r := t.requests[d]
 	counted := 0
-	for life, e := range r.ends {
-		if !e.cleared && !t.explained(r, life) {
+	for incarnation, e := range r.crashes {
+		if !e.cleared && !t.explainedByOther(r, incarnation) {
 			counted++
 		}
 	}
-	held := counted >= endsHeldAnyway || counted >= endsHeld && !t.rivalled(r)
-	if held != r.held {
-		r.held = held
-		t.logHeld(d, r)
+	held := counted >= ambiguousThreshold || counted >= crashThreshold && !t.hasCoOccurring(r)
+	if held != r.quarantined {
+		r.quarantined = held
+		t.logDecision(d, r)
 	}
 }
 
-// explained tells whether a life ended under another request that is the likelier cause.
-func (t *Table) explained(r *request, life string) bool {
-	own := r.standing()
-	for d := range t.under[life] {
+// explainedByOther reports whether another request is the likelier cause of a crash.
+func (t *Table) explainedByOther(r *request, incarnation string) bool {
+	active := r.activeCrashes()
+	for d := range t.requestsByIncarnation[incarnation] {
 		other := t.requests[d]
-		if other != r && !other.ends[life].cleared && other.standing() >= endsHeld && other.standing() > own {
+		if other != r && !other.crashes[incarnation].cleared && other.activeCrashes() >= crashThreshold && other.activeCrashes() > active {
 			return true
 		}
 	}
 	return false
 }
 
-// rivalled tells whether another request ran beside this one each time an endpoint ended, and never
-// without it. There are ends against this one.
-func (t *Table) rivalled(r *request) bool {
-	lives := r.lives()
-	for d := range t.under[lives[0]] {
-		if other := t.requests[d]; other != r && slices.Equal(other.lives(), lives) {
+// hasCoOccurring reports whether another request was running at exactly the same crashes. The
+// request has at least one crash.
+func (t *Table) hasCoOccurring(r *request) bool {
+	incarnations := r.activeIncarnations()
+	for d := range t.requestsByIncarnation[incarnations[0]] {
+		if other := t.requests[d]; other != r && slices.Equal(other.activeIncarnations(), incarnations) {
 			return true
 		}
 	}
 	return false
 }
 
-// logHeld counts and logs that a request is refused from now on, or is not any more.
-func (t *Table) logHeld(d Digest, r *request) {
+// logDecision counts and logs that a request was quarantined or released.
+func (t *Table) logDecision(d Digest, r *request) {
 	event := "request_released"
-	if r.held {
+	if r.quarantined {
 		event = "request_quarantined"
-		t.held++
+		t.quarantinedCount++
 	} else {
-		t.held--
+		t.quarantinedCount--
 	}
 	t.log.WithFields(logrus.Fields{
-		"event": event, "digest": d.String(), "endpoints": r.lives(), "ends": r.standing(),
-		"age_ms": t.clock.Since(r.last).Milliseconds(),
+		"event": event, "digest": d.String(), "endpoints": r.activeIncarnations(), "ends": r.activeCrashes(),
+		"age_ms": t.clock.Since(r.lastCrash).Milliseconds(),
 	}).Warn()
 }
--- a/pkg/quarantine/keeper.go
+++ b/pkg/quarantine/keeper.go
@@ -9,136 +9,136 @@
 )
 
 const (
-	// recallTimeout bounds how long a request waits for what the store has of it; the store answers
-	// within 10 ms when it is well.
-	recallTimeout = 50 * time.Millisecond
-	// keepTimeout bounds one writing. One that failed is made again keepTries times in all, after a pause
-	// each, which outlasts a store that is slow or turns calls away for a while.
-	keepTimeout = time.Second
-	keepTries   = 5
-	keepPause   = 500 * time.Millisecond
-	// waiting bounds the ends that wait to be written, and atOnce those that are written together.
-	waiting = 256
-	atOnce  = 32
+	// loadTimeout limits how long a request waits for the store.
+	loadTimeout = 50 * time.Millisecond
+	// writeTimeout limits one write. A failed write is attempted maxWriteAttempts times in total,
+	// with a delay that outlasts a short outage of the store.
+	writeTimeout     = time.Second
+	maxWriteAttempts = 5
+	writeRetryDelay  = 500 * time.Millisecond
+	// writeQueueSize limits the queue of crashes to be written, maxWriteBatch the crashes per
+	// write.
+	writeQueueSize = 256
+	maxWriteBatch  = 32
 )
 
-// Store keeps ends where instances find them that hear nothing of each other: across a cut, or after all
-// have started anew. It may forget them after ten minutes.
+// Store persists crashes for instances that cannot reach each other: during a network partition, or
+// after all instances have restarted. It may discard them after ten minutes.
 type Store interface {
-	// Keep writes ends.
-	Keep(ctx context.Context, ends []End) error
-	// Kept returns those of a request.
+	// Keep writes crashes.
+	Keep(ctx context.Context, crashes []End) error
+	// Kept returns the crashes of a request.
 	Kept(ctx context.Context, d Digest) ([]End, error)
 }
 
-// Keeper is a table whose news go to the other instances and to a store. Safe for concurrent use.
+// Keeper is a Table that shares its changes with the other instances and a store. It is safe for
+// concurrent use.
 type Keeper struct {
 	*Table
 	store Store
-	// tellAll has all other instances told what is new in the table.
-	tellAll func()
-	clock   clockwork.Clock
-	log     *logrus.Entry
-	// unkept are the ends that wait to be written.
-	unkept chan End
+	// broadcast sends recent changes of the table to all other instances.
+	broadcast func()
+	clock     clockwork.Clock
+	log       *logrus.Entry
+	// pendingWrites is the queue of crashes to be written.
+	pendingWrites chan End
 }
 
-// NewKeeper returns a keeper of a table. The function tellAll has all other instances told at once what is
-// new in it, and must not block.
-func NewKeeper(table *Table, store Store, tellAll func(), clock clockwork.Clock, log *logrus.Entry) *Keeper {
-	return &Keeper{Table: table, store: store, tellAll: tellAll, clock: clock, log: log, unkept: make(chan End, waiting)}
+// NewKeeper returns a Keeper for a table. broadcast sends recent changes of the table to all other
+// instances and must not block.
+func NewKeeper(table *Table, store Store, broadcast func(), clock clockwork.Clock, log *logrus.Entry) *Keeper {
+	return &Keeper{Table: table, store: store, broadcast: broadcast, clock: clock, log: log, pendingWrites: make(chan End, writeQueueSize)}
 }
 
-// Note takes in that an endpoint's life ended now under a request, as this instance saw.
-func (k *Keeper) Note(d Digest, life string) {
-	k.Table.Note(d, life)
-	k.pass([]End{{Digest: d, Life: life}})
+// Note records a crash observed by this instance.
+func (k *Keeper) Note(d Digest, incarnation string) {
+	k.Table.Note(d, incarnation)
+	k.publish([]End{{Digest: d, Life: incarnation}})
 }
 
-// Clear takes in that a request ran without ending its endpoint.
+// Clear records that a request ran without crashing its endpoint.
 func (k *Keeper) Clear(d Digest) {
 	if k.Table.Clear(d) {
-		k.pass(k.Table.of(d))
+		k.publish(k.Table.crashesOf(d))
 	}
 }
 
-// pass has the other instances told, and ends written to the store.
-func (k *Keeper) pass(ends []End) {
-	k.tellAll()
-	for _, e := range ends {
+// publish broadcasts changes and queues crashes to be written.
+func (k *Keeper) publish(crashes []End) {
+	k.broadcast()
+	for _, e := range crashes {
 		select {
-		case k.unkept <- e:
+		case k.pendingWrites <- e:
 		default:
-			k.log.WithFields(logrus.Fields{"event": "end_not_kept", "digest": e.Digest.String()}).Warn("too many wait to be written")
+			k.log.WithFields(logrus.Fields{"event": "end_not_kept", "digest": e.Digest.String()}).Warn("the write queue is full")
 		}
 	}
 }
 
-// Recall reads what the store has of a request, if an endpoint has ended under it and it is not held: the
-// ends that make it three may have been seen by instances of which nothing is heard here. So each side
-// of a cut sends such a request once by itself, and not three times; so do all together that have
-// started anew.
+// Recall loads the crashes of a request from the store if the request has some but is not
+// quarantined: unreachable instances may have seen the others. This limits the crashes on each side
+// of a partition, and after a restart of all instances, to one.
 func (k *Keeper) Recall(ctx context.Context, d Digest) {
 	if !k.Suspects(d) || k.Holds(d) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	ends, err := k.store.Kept(ctx, d)
+	crashes, err := k.store.Kept(ctx, d)
 	if err != nil {
 		k.log.WithFields(logrus.Fields{"event": "ends_not_recalled", "digest": d.String()}).Info(err)
 		return
 	}
-	k.Hear(ends)
+	k.Hear(crashes)
 }
 
-// Run writes ends to the store until ctx ends.
+// Run writes crashes to the store until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	for {
 		select {
-		case e := <-k.unkept:
-			k.keep(ctx, k.together(e))
+		case e := <-k.pendingWrites:
+			k.writeWithRetry(ctx, k.collectBatch(e))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// together returns an end and those that wait beside it.
-func (k *Keeper) together(first End) []End {
-	ends := []End{first}
-	for len(ends) < atOnce {
+// collectBatch returns a crash and those queued after it.
+func (k *Keeper) collectBatch(first End) []End {
+	crashes := []End{first}
+	for len(crashes) < maxWriteBatch {
 		select {
-		case e := <-k.unkept:
-			ends = append(ends, e)
+		case e := <-k.pendingWrites:
+			crashes = append(crashes, e)
 		default:
-			return ends
+			return crashes
 		}
 	}
-	return ends
+	return crashes
 }
 
-// keep writes ends, again if it fails.
-func (k *Keeper) keep(ctx context.Context, ends []End) {
-	for try := 1; ; try++ {
-		err := k.keepOnce(ctx, ends)
+// writeWithRetry writes crashes and retries failed writes.
+func (k *Keeper) writeWithRetry(ctx context.Context, crashes []End) {
+	for attempt := 1; ; attempt++ {
+		err := k.write(ctx, crashes)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		k.log.WithFields(logrus.Fields{"event": "ends_not_kept", "ends": len(ends), "try": try}).Warn(err)
-		if try == keepTries {
+		k.log.WithFields(logrus.Fields{"event": "ends_not_kept", "ends": len(crashes), "try": attempt}).Warn(err)
+		if attempt == maxWriteAttempts {
 			return
 		}
 		select {
-		case <-k.clock.After(keepPause):
+		case <-k.clock.After(writeRetryDelay):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (k *Keeper) keepOnce(ctx context.Context, ends []End) error {
-	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
+func (k *Keeper) write(ctx context.Context, crashes []End) error {
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	return k.store.Keep(ctx, ends)
+	return k.store.Keep(ctx, crashes)
 }
--- a/pkg/quarantine/spread_test.go
+++ b/pkg/quarantine/spread_test.go
@@ -11,8 +11,9 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/quarantine"
 )
 
-// fleet is many instances that tell each other of ends as their group does: at once to all, and with each
-// usual heartbeat to those of their failure domain and two others. Some of what they tell is lost.
+// fleet simulates instances that exchange crashes as their group does: each new crash goes to all
+// instances at once, and each heartbeat goes to the instances of the same failure domain and two
+// others. Some messages are lost.
 type fleet struct {
 	clock  *clockwork.FakeClock
 	random *rand.Rand
@@ -24,10 +25,10 @@
 	domains   = 6
 	step      = 100 * time.Millisecond
 	heartbeat = time.Second
-	// runs is how long a request runs until its endpoint has ended and its instance has found out.
-	runs = 2 * step
-	// spreadWithin is how long the news of the third end may take.
-	spreadWithin = 3 * time.Second
+	// crashDelay is the time from the start of a request until its instance has detected the crash.
+	crashDelay = 2 * step
+	// propagationBound is how long all instances may take to learn of the third crash.
+	propagationBound = 3 * time.Second
 )
 
 func newFleet(instances int, loss float64, seed uint64) *fleet {
@@ -38,76 +39,76 @@
 	return f
 }
 
-func (f *fleet) send(ends []quarantine.End, to int) {
+func (f *fleet) send(crashes []quarantine.End, to int) {
 	if f.random.Float64() >= f.loss {
-		f.tables[to].Hear(ends)
+		f.tables[to].Hear(crashes)
 	}
 }
 
-func (f *fleet) tellAll(from int) {
-	ends := f.tables[from].Tell(32)
+func (f *fleet) broadcast(from int) {
+	crashes := f.tables[from].Tell(32)
 	for to := range f.tables {
-		f.send(ends, to)
+		f.send(crashes, to)
 	}
 }
 
-// beat has the instances send whose turn it is: each once in a heartbeat.
-func (f *fleet) beat(n int) {
+// heartbeatRound sends the heartbeats that are due; each instance sends one per period.
+func (f *fleet) heartbeatRound(n int) {
 	turns := int(heartbeat / step)
 	for from := range f.tables {
 		if from%turns != n%turns {
 			continue
 		}
-		ends := f.tables[from].Tell(4)
+		crashes := f.tables[from].Tell(4)
 		for to := range f.tables {
 			if to%domains == from%domains {
-				f.send(ends, to)
+				f.send(crashes, to)
 			}
 		}
 		for range 2 {
-			f.send(ends, f.random.IntN(len(f.tables)))
+			f.send(crashes, f.random.IntN(len(f.tables)))
 		}
 	}
 }
 
-// crash has many endpoints end, each under a proper request of some instance.
+// crash crashes many endpoints, each with a different harmless request.
 func (f *fleet) crash(endpoints int) {
 	for n := range endpoints {
 		at := f.random.IntN(len(f.tables))
-		f.tables[at].Note(digest(1000+n), life(1000+n))
-		f.tellAll(at)
+		f.tables[at].Note(digest(1000+n), incarnation(1000+n))
+		f.broadcast(at)
 	}
 }
 
-// flight is a try under way.
-type flight struct {
+// inFlight is an attempt in progress.
+type inFlight struct {
 	instance int
 	due      time.Time
 }
 
-// play has tries come, one in each step, and returns when endpoints ended and how many tries were sent
-// later than spreadWithin after the third did.
-func (f *fleet) play(tries int) (ends []time.Time, late int) {
-	var flights []flight
-	for n := range tries {
+// run sends one attempt per step. It returns the times of the crashes, and the number of attempts
+// sent later than propagationBound after the third.
+func (f *fleet) run(attempts int) (crashes []time.Time, late int) {
+	var flights []inFlight
+	for n := range attempts {
 		now := f.clock.Now()
 		for len(flights) > 0 && !flights[0].due.After(now) {
 			at := flights[0].instance
-			f.tables[at].Note(digest(1), life(len(ends)))
-			f.tellAll(at)
-			ends = append(ends, now)
+			f.tables[at].Note(digest(1), incarnation(len(crashes)))
+			f.broadcast(at)
+			crashes = append(crashes, now)
 			flights = flights[1:]
 		}
 		if at := f.random.IntN(len(f.tables)); !f.tables[at].Holds(digest(1)) {
-			flights = append(flights, flight{at, now.Add(runs)})
-			if len(ends) >= 3 && now.Sub(ends[2]) > spreadWithin {
+			flights = append(flights, inFlight{at, now.Add(crashDelay)})
+			if len(crashes) >= 3 && now.Sub(crashes[2]) > propagationBound {
 				late++
 			}
 		}
-		f.beat(n)
+		f.heartbeatRound(n)
 		f.clock.Advance(step)
 	}
-	return ends, late
+	return crashes, late
 }
 
 var _ = Describe("a large fleet that is sent such a request ten times a second, anywhere", func() {
@@ -116,9 +117,9 @@
 			for seed := range seeds {
 				f := newFleet(instances, loss, uint64(seed))
 				f.crash(100)
-				ends, late := f.play(100)
+				crashes, late := f.run(100)
 				Expect(late).To(BeNumerically("<=", 3), "seed %d", seed)
-				Expect(len(ends)).To(BeNumerically("<=", 12), "seed %d", seed)
+				Expect(len(crashes)).To(BeNumerically("<=", 12), "seed %d", seed)
 				for at, t := range f.tables {
 					Expect(t.Held()).To(Equal(1), "instance %d, seed %d", at, seed)
 				}
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -9,67 +9,63 @@
 )
 
 const (
-	// endsHeld is how many endpoints must have ended under a request until it is refused: after three
-	// the users allow three more, in which the news of the third has to come to all instances.
-	endsHeld = 3
-	// endsHeldAnyway is how many if another request ran beside it each time, so that it does not show
-	// which of them it was.
-	endsHeldAnyway = 5
-	// kept is how long an end is remembered. Whoever sends such a request again after that has three
-	// more endpoints ended.
-	kept = time.Hour
-	// maxRequests and maxEnds bound the memory, to 11 MB (BenchmarkMemory): the ends of that many
-	// requests, and so many of each. A crash of 240 endpoints at once that each began 10 requests
-	// leaves 2,400 with one end each.
-	maxRequests = 4096
-	maxEnds     = 8
+	// crashThreshold is the number of crashes at which a request is quarantined. It leaves room for
+	// further crashes until all instances know of it.
+	crashThreshold = 3
+	// ambiguousThreshold applies while another request was running at each of the crashes.
+	ambiguousThreshold = 5
+	// retention is how long a crash is kept.
+	retention = time.Hour
+	// maxRequests and maxCrashesPerRequest limit the memory of a table.
+	maxRequests          = 4096
+	maxCrashesPerRequest = 8
 )
 
-// Table holds which endpoints ended under which requests, as far as this instance has seen it or heard of
-// it from others. All instances that know the same ends refuse the same requests, in whatever order they
-// heard of them. Safe for concurrent use.
+// Table records which endpoints crashed while running which requests, as seen by this instance or
+// reported by others. Instances that know the same crashes quarantine the same requests, regardless
+// of the order of reports. It is safe for concurrent use.
 type Table struct {
 	clock clockwork.Clock
 	log   *logrus.Entry
 
 	mu       sync.Mutex
 	requests map[Digest]*request
-	// under has the requests that each life ended under.
-	under map[string]map[Digest]struct{}
-	// held is how many requests are refused.
-	held int
+	// requestsByIncarnation contains the requests that were running when an endpoint crashed.
+	requestsByIncarnation map[string]map[Digest]struct{}
+	// quarantinedCount is the number of quarantined requests.
+	quarantinedCount int
 }
 
-// request is what is known of the tries of one request.
+// request is the crash history of one request.
 type request struct {
-	ends map[string]*end
-	// last is when the newest end was.
-	last time.Time
-	held bool
+	crashes map[string]*crash
+	// lastCrash is the time of the newest crash.
+	lastCrash   time.Time
+	quarantined bool
 }
 
-type end struct {
+type crash struct {
 	at      time.Time
 	cleared bool
 }
 
 // New returns an empty table.
 func New(clock clockwork.Clock, log *logrus.Entry) *Table {
-	return &Table{clock: clock, log: log, requests: map[Digest]*request{}, under: map[string]map[Digest]struct{}{}}
+	return &Table{clock: clock, log: log, requests: map[Digest]*request{}, requestsByIncarnation: map[string]map[Digest]struct{}{}}
 }
 
-// Holds tells whether a request is to be refused, since it ends its endpoints.
+// Holds reports whether a request is quarantined.
 func (t *Table) Holds(d Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.requests[d]
-	return r != nil && r.held
+	return r != nil && r.quarantined
 }
 
-// Suspects tells whether an endpoint has ended under a request, which may be why.
+// Suspects reports whether an endpoint has crashed while running the request.
 func (t *Table) Suspects(d Digest) bool { return t.Ends(d) > 0 }
 
-// Ends is how many endpoints have ended under a request, which may be why.
+// Ends returns the number of endpoints that have crashed while running the request.
 func (t *Table) Ends(d Digest) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,13 +73,13 @@
 	if r == nil {
 		return 0
 	}
-	return r.standing()
+	return r.activeCrashes()
 }
 
-// standing is how many ends are not cleared.
-func (r *request) standing() int {
+// activeCrashes returns the number of crashes that are not cleared.
+func (r *request) activeCrashes() int {
 	n := 0
-	for _, e := range r.ends {
+	for _, e := range r.crashes {
 		if !e.cleared {
 			n++
 		}
@@ -91,18 +87,18 @@
 	return n
 }
 
-// Held is how many requests are refused.
+// Held returns the number of quarantined requests.
 func (t *Table) Held() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.held
+	return t.quarantinedCount
 }
 
-// Note takes in that an endpoint's life ended now under a request, as this instance saw.
-func (t *Table) Note(d Digest, life string) { t.Hear([]End{{Digest: d, Life: life}}) }
+// Note records a crash observed by this instance.
+func (t *Table) Note(d Digest, incarnation string) { t.Hear([]End{{Digest: d, Life: incarnation}}) }
 
-// Clear takes in that a request ran without ending its endpoint, and tells whether that is news: the
-// ends before it were not its doing.
+// Clear records that a request ran without crashing its endpoint, so its earlier crashes no longer
+// count. It reports whether this changed the table.
 func (t *Table) Clear(d Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,40 +106,40 @@
 	if r == nil {
 		return false
 	}
-	news := false
-	for _, e := range r.ends {
-		news = news || !e.cleared
+	changed := false
+	for _, e := range r.crashes {
+		changed = changed || !e.cleared
 		e.cleared = true
 	}
-	if news {
-		t.judgeAll(r)
+	if changed {
+		t.reevaluateAll(r)
 	}
-	return news
+	return changed
 }
 
-// Hear takes in what another instance tells.
-func (t *Table) Hear(ends []End) {
+// Hear merges crashes reported by another instance.
+func (t *Table) Hear(crashes []End) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, e := range ends {
-		if e.Age >= kept {
+	for _, e := range crashes {
+		if e.Age >= retention {
 			continue
 		}
 		if r := t.add(e); r != nil {
-			t.judgeAll(r)
+			t.reevaluateAll(r)
 		}
 	}
 }
 
-// add returns the request of an end if the end is news, and nil otherwise.
+// add adds a crash and returns its request, or nil if nothing changed.
 func (t *Table) add(e End) *request {
 	r := t.requests[e.Digest]
 	if r == nil {
-		t.makeRoom()
-		r = &request{ends: map[string]*end{}}
+		t.evictIfFull()
+		r = &request{crashes: map[string]*crash{}}
 		t.requests[e.Digest] = r
 	}
-	if known := r.ends[e.Life]; known != nil {
+	if known := r.crashes[e.Life]; known != nil {
 		news := e.Cleared && !known.cleared
 		known.cleared = known.cleared || e.Cleared
 		if news {
@@ -151,58 +147,58 @@
 		}
 		return nil
 	}
-	if len(r.ends) >= maxEnds {
+	if len(r.crashes) >= maxCrashesPerRequest {
 		return nil
 	}
 	at := t.clock.Now().Add(-e.Age)
-	r.ends[e.Life] = &end{at: at, cleared: e.Cleared}
-	if at.After(r.last) {
-		r.last = at
+	r.crashes[e.Life] = &crash{at: at, cleared: e.Cleared}
+	if at.After(r.lastCrash) {
+		r.lastCrash = at
 	}
-	if t.under[e.Life] == nil {
-		t.under[e.Life] = map[Digest]struct{}{}
+	if t.requestsByIncarnation[e.Life] == nil {
+		t.requestsByIncarnation[e.Life] = map[Digest]struct{}{}
 	}
-	t.under[e.Life][e.Digest] = struct{}{}
+	t.requestsByIncarnation[e.Life][e.Digest] = struct{}{}
 	return r
 }
 
-// makeRoom drops the request whose last end is longest ago, of those that are not refused if there are
-// any, when there are too many.
-func (t *Table) makeRoom() {
+// evictIfFull removes the request with the oldest last crash if the table is full, preferring
+// requests that are not quarantined.
+func (t *Table) evictIfFull() {
 	if len(t.requests) < maxRequests {
 		return
 	}
-	var oldest Digest
-	var found *request
+	var candidate Digest
+	var oldest *request
 	for d, r := range t.requests {
-		if found == nil || found.held && !r.held || found.held == r.held && r.last.Before(found.last) {
-			oldest, found = d, r
+		if oldest == nil || oldest.quarantined && !r.quarantined || oldest.quarantined == r.quarantined && r.lastCrash.Before(oldest.lastCrash) {
+			candidate, oldest = d, r
 		}
 	}
-	t.drop(oldest)
+	t.drop(candidate)
 }
 
 func (t *Table) drop(d Digest) {
 	r := t.requests[d]
 	delete(t.requests, d)
-	if r.held {
-		t.held--
+	if r.quarantined {
+		t.quarantinedCount--
 	}
-	for life := range r.ends {
-		delete(t.under[life], d)
-		if len(t.under[life]) == 0 {
-			delete(t.under, life)
+	for incarnation := range r.crashes {
+		delete(t.requestsByIncarnation[incarnation], d)
+		if len(t.requestsByIncarnation[incarnation]) == 0 {
+			delete(t.requestsByIncarnation, incarnation)
 		}
 	}
 }
 
-// Sweep forgets the requests under which the last endpoint ended long ago.
+// Sweep removes requests whose last crash has expired.
 func (t *Table) Sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	for d, r := range t.requests {
-		if now.Sub(r.last) >= kept {
+		if now.Sub(r.lastCrash) >= retention {
 			t.drop(d)
 		}
 	}
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -18,10 +18,10 @@
 
 func digest(n int) quarantine.Digest { return quarantine.Sum("", "", fmt.Sprint(n), nil) }
 
-func life(n int) string { return fmt.Sprint("endpoint-", n) }
+func incarnation(n int) string { return fmt.Sprint("endpoint-", n) }
 
-func ended(request, endpoint int) quarantine.End {
-	return quarantine.End{Digest: digest(request), Life: life(endpoint)}
+func crash(request, endpoint int) quarantine.End {
+	return quarantine.End{Digest: digest(request), Life: incarnation(endpoint)}
 }
 
 func newTable(clock clockwork.Clock) *quarantine.Table {
@@ -34,7 +34,7 @@
 		t     *quarantine.Table
 	)
 
-	const guilty, proper = 1, 2
+	const poison, harmless = 1, 2
 
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
@@ -43,110 +43,110 @@
 
 	It("holds a request under which three endpoints ended, and no other", func() {
 		for n := range 3 {
-			Expect(t.Holds(digest(guilty))).To(BeFalse())
-			t.Note(digest(guilty), life(n))
+			Expect(t.Holds(digest(poison))).To(BeFalse())
+			t.Note(digest(poison), incarnation(n))
 		}
-		Expect(t.Holds(digest(guilty))).To(BeTrue())
-		Expect(t.Holds(digest(proper))).To(BeFalse())
+		Expect(t.Holds(digest(poison))).To(BeTrue())
+		Expect(t.Holds(digest(harmless))).To(BeFalse())
 		Expect(t.Held()).To(Equal(1))
 	})
 
 	It("counts a life of an endpoint once, however many tries ran there and whoever tells", func() {
 		for range 4 {
-			t.Note(digest(guilty), life(1))
-			t.Hear([]quarantine.End{ended(guilty, 1), ended(guilty, 1)})
+			t.Note(digest(poison), incarnation(1))
+			t.Hear([]quarantine.End{crash(poison, 1), crash(poison, 1)})
 		}
-		Expect(t.Ends(digest(guilty))).To(Equal(1))
-		Expect(t.Holds(digest(guilty))).To(BeFalse())
+		Expect(t.Ends(digest(poison))).To(Equal(1))
+		Expect(t.Holds(digest(poison))).To(BeFalse())
 	})
 
 	It("adds up what several instances saw", func() {
-		t.Note(digest(guilty), life(1))
-		t.Hear([]quarantine.End{ended(guilty, 2)})
-		t.Hear([]quarantine.End{ended(guilty, 3)})
-		Expect(t.Holds(digest(guilty))).To(BeTrue())
+		t.Note(digest(poison), incarnation(1))
+		t.Hear([]quarantine.End{crash(poison, 2)})
+		t.Hear([]quarantine.End{crash(poison, 3)})
+		Expect(t.Holds(digest(poison))).To(BeTrue())
 	})
 
 	It("lets a request go that has run well since, and counts anew", func() {
 		for n := range 3 {
-			t.Note(digest(proper), life(n))
+			t.Note(digest(harmless), incarnation(n))
 		}
-		Expect(t.Clear(digest(proper))).To(BeTrue())
-		Expect(t.Clear(digest(proper))).To(BeFalse(), "that is no news any more")
-		Expect(t.Holds(digest(proper))).To(BeFalse())
+		Expect(t.Clear(digest(harmless))).To(BeTrue())
+		Expect(t.Clear(digest(harmless))).To(BeFalse(), "that is no news any more")
+		Expect(t.Holds(digest(harmless))).To(BeFalse())
 		Expect(t.Held()).To(BeZero())
-		t.Hear([]quarantine.End{ended(proper, 0), ended(proper, 1), ended(proper, 2)})
-		Expect(t.Holds(digest(proper))).To(BeFalse(), "who has not heard of it brings nothing back")
+		t.Hear([]quarantine.End{crash(harmless, 0), crash(harmless, 1), crash(harmless, 2)})
+		Expect(t.Holds(digest(harmless))).To(BeFalse(), "who has not heard of it brings nothing back")
 		for n := 10; n < 13; n++ {
-			t.Note(digest(proper), life(n))
+			t.Note(digest(harmless), incarnation(n))
 		}
-		Expect(t.Holds(digest(proper))).To(BeTrue())
+		Expect(t.Holds(digest(harmless))).To(BeTrue())
 	})
 
 	It("does not hold a request that only ran beside the one that ended its endpoints", func() {
 		for n := range 3 {
-			t.Note(digest(guilty), life(n))
-			t.Note(digest(proper), life(n))
+			t.Note(digest(poison), incarnation(n))
+			t.Note(digest(harmless), incarnation(n))
 		}
-		t.Note(digest(guilty), life(3))
-		Expect(t.Holds(digest(guilty))).To(BeTrue())
-		Expect(t.Holds(digest(proper))).To(BeFalse())
+		t.Note(digest(poison), incarnation(3))
+		Expect(t.Holds(digest(poison))).To(BeTrue())
+		Expect(t.Holds(digest(harmless))).To(BeFalse())
 	})
 
-	// Where a service has three endpoints, the one that ends them and a proper one that is repeated beside
-	// it go from one to the next together: a soak had such a proper request refused.
+	// With three endpoints, a harmless request that is retried may run beside the crashing one each
+	// time.
 	It("holds neither of two that ran beside each other each time, until it shows which it was", func() {
 		for n := range 3 {
-			t.Note(digest(guilty), life(n))
-			t.Note(digest(proper), life(n))
+			t.Note(digest(poison), incarnation(n))
+			t.Note(digest(harmless), incarnation(n))
 		}
 		Expect(t.Held()).To(BeZero())
-		t.Note(digest(guilty), life(3))
-		Expect(t.Holds(digest(guilty))).To(BeTrue())
-		Expect(t.Holds(digest(proper))).To(BeFalse())
+		t.Note(digest(poison), incarnation(3))
+		Expect(t.Holds(digest(poison))).To(BeTrue())
+		Expect(t.Holds(digest(harmless))).To(BeFalse())
 	})
 
 	It("holds both at five, since the users allow three more than three", func() {
 		for n := range 5 {
 			Expect(t.Held()).To(BeZero())
-			t.Note(digest(guilty), life(n))
-			t.Note(digest(proper), life(n))
+			t.Note(digest(poison), incarnation(n))
+			t.Note(digest(harmless), incarnation(n))
 		}
-		Expect(t.Holds(digest(guilty))).To(BeTrue())
-		Expect(t.Holds(digest(proper))).To(BeTrue())
-		Expect(t.Clear(digest(proper))).To(BeTrue())
-		Expect(t.Holds(digest(guilty))).To(BeTrue())
-		Expect(t.Holds(digest(proper))).To(BeFalse())
+		Expect(t.Holds(digest(poison))).To(BeTrue())
+		Expect(t.Holds(digest(harmless))).To(BeTrue())
+		Expect(t.Clear(digest(harmless))).To(BeTrue())
+		Expect(t.Holds(digest(poison))).To(BeTrue())
+		Expect(t.Holds(digest(harmless))).To(BeFalse())
 	})
 
 	It("holds the one at once when the other has run well", func() {
 		for n := range 3 {
-			t.Note(digest(guilty), life(n))
-			t.Note(digest(proper), life(n))
+			t.Note(digest(poison), incarnation(n))
+			t.Note(digest(harmless), incarnation(n))
 		}
-		t.Clear(digest(proper))
-		Expect(t.Holds(digest(guilty))).To(BeTrue())
+		t.Clear(digest(harmless))
+		Expect(t.Holds(digest(poison))).To(BeTrue())
 	})
 
 	It("forgets an end an hour later, wherever it was heard of last", func() {
 		other := newTable(clock)
 		for n := range 3 {
-			t.Note(digest(guilty), life(n))
+			t.Note(digest(poison), incarnation(n))
 		}
 		clock.Advance(59 * time.Minute)
 		other.Hear(t.Tell(10))
-		Expect(other.Holds(digest(guilty))).To(BeTrue())
+		Expect(other.Holds(digest(poison))).To(BeTrue())
 		clock.Advance(time.Minute)
 		t.Sweep()
 		other.Sweep()
-		Expect(t.Holds(digest(guilty))).To(BeFalse())
-		Expect(other.Holds(digest(guilty))).To(BeFalse())
+		Expect(t.Holds(digest(poison))).To(BeFalse())
+		Expect(other.Holds(digest(poison))).To(BeFalse())
 		Expect(other.Tell(10)).To(BeEmpty())
 	})
 
 	It("tells the newest ends first, and in time all that count", func() {
 		for n := range 40 {
-			t.Hear([]quarantine.End{ended(n, 2*n), ended(n, 2*n+1)})
+			t.Hear([]quarantine.End{crash(n, 2*n), crash(n, 2*n+1)})
 			clock.Advance(time.Second)
 		}
 		told := t.Tell(4)
@@ -162,58 +162,57 @@
 	})
 
 	It("tells of a request with several ends however many others have one", func() {
-		t.Note(digest(guilty), life(1))
-		t.Note(digest(guilty), life(2))
+		t.Note(digest(poison), incarnation(1))
+		t.Note(digest(poison), incarnation(2))
 		for n := range 100 {
 			clock.Advance(time.Millisecond)
-			t.Note(digest(10+n), life(10+n))
+			t.Note(digest(10+n), incarnation(10+n))
 		}
-		Expect(t.Tell(4)).To(ContainElements(HaveField("Life", life(1)), HaveField("Life", life(2))))
+		Expect(t.Tell(4)).To(ContainElements(HaveField("Life", incarnation(1)), HaveField("Life", incarnation(2))))
 	})
 
 	It("stops telling of requests under which one endpoint alone ended", func() {
-		t.Note(digest(proper), life(1))
+		t.Note(digest(harmless), incarnation(1))
 		Expect(t.Tell(4)).To(HaveLen(1))
 		clock.Advance(30 * time.Second)
 		Expect(t.Tell(4)).To(BeEmpty())
-		Expect(t.Ends(digest(proper))).To(Equal(1))
+		Expect(t.Ends(digest(harmless))).To(Equal(1))
 	})
 
 	It("bounds what it keeps, and drops no request that it holds for others", func() {
 		for n := range 3 {
-			t.Note(digest(-1), life(n))
+			t.Note(digest(-1), incarnation(n))
 		}
 		for n := range 10_000 {
 			clock.Advance(time.Millisecond)
-			t.Note(digest(n), life(n))
+			t.Note(digest(n), incarnation(n))
 		}
 		Expect(t.Holds(digest(-1))).To(BeTrue())
 		Expect(t.Ends(digest(0))).To(BeZero())
 		Expect(t.Ends(digest(9_999))).To(Equal(1))
 		for n := range 100 {
-			t.Note(digest(-1), life(n))
+			t.Note(digest(-1), incarnation(n))
 		}
 		Expect(t.Ends(digest(-1))).To(Equal(8))
 	})
 })
 
-// Whoever knows the same ends comes to the same decisions, in whatever order and how often each end was
-// heard of.
+// Guards against decisions that depend on the order or the repetition of reports.
 var _ = Describe("tables that have heard the same", func() {
 	It("hold the same requests", func() {
 		rapid.Check(GinkgoT(), func(r *rapid.T) {
-			var ends []quarantine.End
+			var crashes []quarantine.End
 			for range rapid.IntRange(1, 30).Draw(r, "ends") {
-				e := ended(rapid.IntRange(0, 4).Draw(r, "request"), rapid.IntRange(0, 6).Draw(r, "endpoint"))
+				e := crash(rapid.IntRange(0, 4).Draw(r, "request"), rapid.IntRange(0, 6).Draw(r, "endpoint"))
 				e.Cleared = rapid.IntRange(0, 9).Draw(r, "cleared") == 0
-				ends = append(ends, e)
+				crashes = append(crashes, e)
 			}
 			clock := clockwork.NewFakeClock()
 			first, second := newTable(clock), newTable(clock)
-			for _, e := range ends {
+			for _, e := range crashes {
 				first.Hear([]quarantine.End{e})
 			}
-			shuffled := append(append([]quarantine.End{}, ends...), ends...)
+			shuffled := append(append([]quarantine.End{}, crashes...), crashes...)
 			random := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 0))
 			random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 			second.Hear(shuffled)
@@ -229,12 +228,11 @@
 	})
 })
 
-// BenchmarkHolds is what each request costs beside 2,400 that were noted: 31 ns; its digest (2.4 KB of
-// body, BenchmarkSum) costs 2.3 us. Before there was a quarantine neither was there.
+// BenchmarkHolds measures a lookup in a table with 2,400 requests.
 func BenchmarkHolds(b *testing.B) {
 	t := newTable(clockwork.NewRealClock())
 	for n := range 2400 {
-		t.Note(digest(n), life(n/10))
+		t.Note(digest(n), incarnation(n/10))
 	}
 	d := digest(1)
 	b.ResetTimer()
@@ -250,7 +248,7 @@
 	}
 }
 
-// BenchmarkMemory is what a table takes that is full, with 8 ends of each of 4,096 requests.
+// BenchmarkMemory measures the size of a full table.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
@@ -259,7 +257,7 @@
 		t := newTable(clockwork.NewRealClock())
 		for request := range 4096 {
 			for n := range 8 {
-				t.Note(digest(request), life(8*request+n))
+				t.Note(digest(request), incarnation(8*request+n))
 			}
 		}
 		runtime.GC()
--- a/pkg/quarantine/telling.go
+++ b/pkg/quarantine/telling.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// toldFor is how long an end is told that is the only one of its request: most of those are of requests
-// that ran beside the cause. The others are told for as long as they are kept.
-const toldFor = 30 * time.Second
+// singleCrashGossipPeriod is how long the only crash of a request is reported to others: most such
+// requests were merely running beside the cause. Other crashes are reported as long as they are
+// kept.
+const singleCrashGossipPeriod = 30 * time.Second
 
-// Tell returns up to n ends for other instances. The first half are the newest ones of requests under which
-// several endpoints ended, as far as there are any: after a crash of many endpoints a hundred others may
-// have one each. The second half are others in turn.
+// Tell returns up to n crashes to report to other instances. Half of them are the newest crashes of
+// requests with several; the rest are random, so that all are reported in time even after many
+// endpoints have crashed at once.
 func (t *Table) Tell(n int) []End {
-	all := t.told()
+	all := t.gossipCandidates()
 	if len(all) <= n {
 		return all
 	}
@@ -24,64 +25,64 @@
 	return all[:n]
 }
 
-// told returns all ends that others are told of: those of requests with several first, and the newest of
-// each kind first.
-func (t *Table) told() []End {
+// gossipCandidates returns all crashes to report: those of requests with several first, each group
+// sorted by age.
+func (t *Table) gossipCandidates() []End {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	var several, single []End
+	var repeated, single []End
 	for d, r := range t.requests {
 		switch {
-		case len(r.ends) > 1:
-			several = r.appendTo(several, d, now)
-		case now.Sub(r.last) < toldFor:
+		case len(r.crashes) > 1:
+			repeated = r.appendTo(repeated, d, now)
+		case now.Sub(r.lastCrash) < singleCrashGossipPeriod:
 			single = r.appendTo(single, d, now)
 		}
 	}
 	byAge := func(a, b End) int { return cmp.Compare(a.Age, b.Age) }
-	slices.SortFunc(several, byAge)
+	slices.SortFunc(repeated, byAge)
 	slices.SortFunc(single, byAge)
-	return append(several, single...)
+	return append(repeated, single...)
 }
 
-// HeldRequest is a request that is refused, and what speaks against it.
+// HeldRequest describes a quarantined request.
 type HeldRequest struct {
 	Digest string `json:"digest"`
-	// Endpoints are the lives that ended under it.
+	// Endpoints are the incarnations that crashed.
 	Endpoints []string `json:"endpoints"`
-	// LastMs is the time since the last of them ended, in milliseconds.
+	// LastMs is the time since the last crash in milliseconds.
 	LastMs int64 `json:"last_ms"`
 }
 
-// List returns the requests that are refused, the newest first.
+// List returns the quarantined requests, the newest first.
 func (t *Table) List() []HeldRequest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	list := []HeldRequest{}
 	for d, r := range t.requests {
-		if r.held {
-			list = append(list, HeldRequest{Digest: d.String(), Endpoints: r.lives(), LastMs: t.clock.Since(r.last).Milliseconds()})
+		if r.quarantined {
+			list = append(list, HeldRequest{Digest: d.String(), Endpoints: r.activeIncarnations(), LastMs: t.clock.Since(r.lastCrash).Milliseconds()})
 		}
 	}
 	slices.SortFunc(list, func(a, b HeldRequest) int { return cmp.Compare(a.LastMs, b.LastMs) })
 	return list
 }
 
-// lives returns the lives that ended under a request, and were not taken back.
-func (r *request) lives() []string {
-	var lives []string
-	for life, e := range r.ends {
+// activeIncarnations returns the incarnations whose crashes are not cleared.
+func (r *request) activeIncarnations() []string {
+	var incarnations []string
+	for incarnation, e := range r.crashes {
 		if !e.cleared {
-			lives = append(lives, life)
+			incarnations = append(incarnations, incarnation)
 		}
 	}
-	slices.Sort(lives)
-	return lives
+	slices.Sort(incarnations)
+	return incarnations
 }
 
-// of returns the ends of one request.
-func (t *Table) of(d Digest) []End {
+// crashesOf returns the crashes of one request.
+func (t *Table) crashesOf(d Digest) []End {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.requests[d]
@@ -91,9 +92,9 @@
 	return r.appendTo(nil, d, t.clock.Now())
 }
 
-func (r *request) appendTo(ends []End, d Digest, now time.Time) []End {
-	for life, e := range r.ends {
-		ends = append(ends, End{Digest: d, Life: life, Age: now.Sub(e.at), Cleared: e.cleared})
+func (r *request) appendTo(crashes []End, d Digest, now time.Time) []End {
+	for incarnation, e := range r.crashes {
+		crashes = append(crashes, End{Digest: d, Life: incarnation, Age: now.Sub(e.at), Cleared: e.cleared})
 	}
-	return ends
+	return crashes
 }
