--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -47,8 +47,8 @@
 	HeardRevision func(uint64)
 	// Ends returns up to n ends of endpoints under requests which may be why, which are told;
 	// HeardEnds takes in those of another member, and must not block. Both may be nil.
-	Ends      func(n int) []quarantine.End
-	HeardEnds func([]quarantine.End)
+	Ends      func(n int) []quarantine.Crash
+	HeardEnds func([]quarantine.Crash)
 	// Departing returns up to n lives of endpoints that have said in answers that they leave, though
 	// the source does not say so, which are told; HeardDeparting takes in those of another member, and must
 	// not block. Both may be nil. They go with the usual heartbeats, and are not sent at once: whoever has
--- a/pkg/group/group_test.go
+++ b/pkg/group/group_test.go
@@ -147,11 +147,11 @@
 	It("tells of ends: many at once to all and to who is new, a few with the usual heartbeats", func() {
 		var mu sync.Mutex
 		asked := map[int]bool{}
-		told := func(n int) []quarantine.End {
+		told := func(n int) []quarantine.Crash {
 			mu.Lock()
 			defer mu.Unlock()
 			asked[n] = true
-			return make([]quarantine.End, min(n, 40))
+			return make([]quarantine.Crash, min(n, 40))
 		}
 		heard := make(chan int, 1000)
 		clock = clockwork.NewFakeClock()
@@ -162,7 +162,7 @@
 			_ = t.Wait()
 		})
 		teller := group.New(group.Settings{Self: membership.Self{Name: "teller", PeerAddress: "a0"}, Contacts: []string{"a1"}, Heartbeat: time.Second, SuspectAfter: time.Second, Ends: told}, n, clock, logging.Discard().For("peers"))
-		hearer := group.New(group.Settings{Self: membership.Self{Name: "hearer", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, HeardEnds: func(ends []quarantine.End) { heard <- len(ends) }}, n, clock, logging.Discard().For("peers"))
+		hearer := group.New(group.Settings{Self: membership.Self{Name: "hearer", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, HeardEnds: func(ends []quarantine.Crash) { heard <- len(ends) }}, n, clock, logging.Discard().For("peers"))
 		n.groups["a0"], n.groups["a1"] = teller, hearer
 		t.Go(func() error { return teller.Run(&t) })
 		t.Go(func() error { return hearer.Run(&t) })
--- a/pkg/membership/members.go
+++ b/pkg/membership/members.go
@@ -81,7 +81,7 @@
 	// Division is the one of the stage endpoints that the sender goes by.
 	Division ownership.Division
 	// Ends are endpoints that ended under requests which may be why.
-	Ends []quarantine.End
+	Ends []quarantine.Crash
 	// Limits are what endpoints said last of how much they take from all instances together.
 	Limits []throttle.Limit
 }
--- a/pkg/quarantine/crash.go
+++ b/pkg/quarantine/crash.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// End records that an endpoint crashed while running a request.
-type End struct {
+// Crash records that an endpoint crashed while running a request.
+type Crash struct {
 	Digest Digest
 	// Life identifies the incarnation of the endpoint; a restarted endpoint has a new one.
 	Life string
--- a/pkg/quarantine/gossip.go
+++ b/pkg/quarantine/gossip.go
@@ -15,7 +15,7 @@
 // Tell returns up to n crashes to report to other instances. Half of them are the newest crashes of
 // requests with several; the rest are random, so that all are reported in time even after many
 // endpoints have crashed at once.
-func (t *Table) Tell(n int) []End {
+func (t *Table) Tell(n int) []Crash {
 	all := t.gossipCandidates()
 	if len(all) <= n {
 		return all
@@ -27,11 +27,11 @@
 
 // gossipCandidates returns all crashes to report: those of requests with several first, each group
 // sorted by age.
-func (t *Table) gossipCandidates() []End {
+func (t *Table) gossipCandidates() []Crash {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	var repeated, single []End
+	var repeated, single []Crash
 	for d, r := range t.requests {
 		switch {
 		case len(r.crashes) > 1:
@@ -40,7 +40,7 @@
 			single = r.appendTo(single, d, now)
 		}
 	}
-	byAge := func(a, b End) int { return cmp.Compare(a.Age, b.Age) }
+	byAge := func(a, b Crash) int { return cmp.Compare(a.Age, b.Age) }
 	slices.SortFunc(repeated, byAge)
 	slices.SortFunc(single, byAge)
 	return append(repeated, single...)
@@ -82,7 +82,7 @@
 }
 
 // crashesOf returns the crashes of one request.
-func (t *Table) crashesOf(d Digest) []End {
+func (t *Table) crashesOf(d Digest) []Crash {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.requests[d]
@@ -92,9 +92,9 @@
 	return r.appendTo(nil, d, t.clock.Now())
 }
 
-func (r *request) appendTo(crashes []End, d Digest, now time.Time) []End {
+func (r *request) appendTo(crashes []Crash, d Digest, now time.Time) []Crash {
 	for incarnation, e := range r.crashes {
-		crashes = append(crashes, End{Digest: d, Life: incarnation, Age: now.Sub(e.at), Cleared: e.cleared})
+		crashes = append(crashes, Crash{Digest: d, Life: incarnation, Age: now.Sub(e.at), Cleared: e.cleared})
 	}
 	return crashes
 }
--- a/pkg/quarantine/manager.go
+++ b/pkg/quarantine/manager.go
@@ -26,9 +26,9 @@
 // after all instances have restarted. It may discard them after ten minutes.
 type Store interface {
 	// Keep writes crashes.
-	Keep(ctx context.Context, crashes []End) error
+	Keep(ctx context.Context, crashes []Crash) error
 	// Kept returns the crashes of a request.
-	Kept(ctx context.Context, d Digest) ([]End, error)
+	Kept(ctx context.Context, d Digest) ([]Crash, error)
 }
 
 // Keeper is a Table that shares its changes with the other instances and a store. It is safe for
@@ -41,19 +41,19 @@
 	clock     clockwork.Clock
 	log       *logrus.Entry
 	// pendingWrites is the queue of crashes to be written.
-	pendingWrites chan End
+	pendingWrites chan Crash
 }
 
 // NewKeeper returns a Keeper for a table. broadcast sends recent changes of the table to all other
 // instances and must not block.
 func NewKeeper(table *Table, store Store, broadcast func(), clock clockwork.Clock, log *logrus.Entry) *Keeper {
-	return &Keeper{Table: table, store: store, broadcast: broadcast, clock: clock, log: log, pendingWrites: make(chan End, writeQueueSize)}
+	return &Keeper{Table: table, store: store, broadcast: broadcast, clock: clock, log: log, pendingWrites: make(chan Crash, writeQueueSize)}
 }
 
 // Note records a crash observed by this instance.
 func (k *Keeper) Note(d Digest, incarnation string) {
 	k.Table.Note(d, incarnation)
-	k.publish([]End{{Digest: d, Life: incarnation}})
+	k.publish([]Crash{{Digest: d, Life: incarnation}})
 }
 
 // Clear records that a request ran without crashing its endpoint.
@@ -64,7 +64,7 @@
 }
 
 // publish broadcasts changes and queues crashes to be written.
-func (k *Keeper) publish(crashes []End) {
+func (k *Keeper) publish(crashes []Crash) {
 	k.broadcast()
 	for _, e := range crashes {
 		select {
@@ -105,8 +105,8 @@
 }
 
 // collectBatch returns a crash and those queued after it.
-func (k *Keeper) collectBatch(first End) []End {
-	crashes := []End{first}
+func (k *Keeper) collectBatch(first Crash) []Crash {
+	crashes := []Crash{first}
 	for len(crashes) < maxWriteBatch {
 		select {
 		case e := <-k.pendingWrites:
@@ -119,7 +119,7 @@
 }
 
 // writeWithRetry writes crashes and retries failed writes.
-func (k *Keeper) writeWithRetry(ctx context.Context, crashes []End) {
+func (k *Keeper) writeWithRetry(ctx context.Context, crashes []Crash) {
 	for attempt := 1; ; attempt++ {
 		err := k.write(ctx, crashes)
 		if err == nil || ctx.Err() != nil {
@@ -137,7 +137,7 @@
 	}
 }
 
-func (k *Keeper) write(ctx context.Context, crashes []End) error {
+func (k *Keeper) write(ctx context.Context, crashes []Crash) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	return k.store.Keep(ctx, crashes)
--- a/pkg/quarantine/propagation_test.go
+++ b/pkg/quarantine/propagation_test.go
@@ -39,7 +39,7 @@
 	return f
 }
 
-func (f *fleet) send(crashes []quarantine.End, to int) {
+func (f *fleet) send(crashes []quarantine.Crash, to int) {
 	if f.random.Float64() >= f.loss {
 		f.tables[to].Hear(crashes)
 	}
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -95,7 +95,7 @@
 }
 
 // Note records a crash observed by this instance.
-func (t *Table) Note(d Digest, incarnation string) { t.Hear([]End{{Digest: d, Life: incarnation}}) }
+func (t *Table) Note(d Digest, incarnation string) { t.Hear([]Crash{{Digest: d, Life: incarnation}}) }
 
 // Clear records that a request ran without crashing its endpoint, so its earlier crashes no longer
 // count. It reports whether this changed the table.
@@ -118,7 +118,7 @@
 }
 
 // Hear merges crashes reported by another instance.
-func (t *Table) Hear(crashes []End) {
+func (t *Table) Hear(crashes []Crash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range crashes {
@@ -132,7 +132,7 @@
 }
 
 // add adds a crash and returns its request, or nil if nothing changed.
-func (t *Table) add(e End) *request {
+func (t *Table) add(e Crash) *request {
 	r := t.requests[e.Digest]
 	if r == nil {
 		t.evictIfFull()
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -20,8 +20,8 @@
 
 func incarnation(n int) string { return fmt.Sprint("endpoint-", n) }
 
-func crash(request, endpoint int) quarantine.End {
-	return quarantine.End{Digest: digest(request), Life: incarnation(endpoint)}
+func crash(request, endpoint int) quarantine.Crash {
+	return quarantine.Crash{Digest: digest(request), Life: incarnation(endpoint)}
 }
 
 func newTable(clock clockwork.Clock) *quarantine.Table {
@@ -54,7 +54,7 @@
 	It("counts a life of an endpoint once, however many tries ran there and whoever tells", func() {
 		for range 4 {
 			t.Note(digest(poison), incarnation(1))
-			t.Hear([]quarantine.End{crash(poison, 1), crash(poison, 1)})
+			t.Hear([]quarantine.Crash{crash(poison, 1), crash(poison, 1)})
 		}
 		Expect(t.Ends(digest(poison))).To(Equal(1))
 		Expect(t.Holds(digest(poison))).To(BeFalse())
@@ -62,8 +62,8 @@
 
 	It("adds up what several instances saw", func() {
 		t.Note(digest(poison), incarnation(1))
-		t.Hear([]quarantine.End{crash(poison, 2)})
-		t.Hear([]quarantine.End{crash(poison, 3)})
+		t.Hear([]quarantine.Crash{crash(poison, 2)})
+		t.Hear([]quarantine.Crash{crash(poison, 3)})
 		Expect(t.Holds(digest(poison))).To(BeTrue())
 	})
 
@@ -75,7 +75,7 @@
 		Expect(t.Clear(digest(harmless))).To(BeFalse(), "that is no news any more")
 		Expect(t.Holds(digest(harmless))).To(BeFalse())
 		Expect(t.Held()).To(BeZero())
-		t.Hear([]quarantine.End{crash(harmless, 0), crash(harmless, 1), crash(harmless, 2)})
+		t.Hear([]quarantine.Crash{crash(harmless, 0), crash(harmless, 1), crash(harmless, 2)})
 		Expect(t.Holds(digest(harmless))).To(BeFalse(), "who has not heard of it brings nothing back")
 		for n := 10; n < 13; n++ {
 			t.Note(digest(harmless), incarnation(n))
@@ -146,7 +146,7 @@
 
 	It("tells the newest ends first, and in time all that count", func() {
 		for n := range 40 {
-			t.Hear([]quarantine.End{crash(n, 2*n), crash(n, 2*n+1)})
+			t.Hear([]quarantine.Crash{crash(n, 2*n), crash(n, 2*n+1)})
 			clock.Advance(time.Second)
 		}
 		told := t.Tell(4)
@@ -201,7 +201,7 @@
 var _ = Describe("tables that have heard the same", func() {
 	It("hold the same requests", func() {
 		rapid.Check(GinkgoT(), func(r *rapid.T) {
-			var crashes []quarantine.End
+			var crashes []quarantine.Crash
 			for range rapid.IntRange(1, 30).Draw(r, "ends") {
 				e := crash(rapid.IntRange(0, 4).Draw(r, "request"), rapid.IntRange(0, 6).Draw(r, "endpoint"))
 				e.Cleared = rapid.IntRange(0, 9).Draw(r, "cleared") == 0
@@ -210,9 +210,9 @@
 			clock := clockwork.NewFakeClock()
 			first, second := newTable(clock), newTable(clock)
 			for _, e := range crashes {
-				first.Hear([]quarantine.End{e})
+				first.Hear([]quarantine.Crash{e})
 			}
-			shuffled := append(append([]quarantine.End{}, crashes...), crashes...)
+			shuffled := append(append([]quarantine.Crash{}, crashes...), crashes...)
 			random := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 0))
 			random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 			second.Hear(shuffled)
--- a/service/peers/datagram.go
+++ b/service/peers/datagram.go
@@ -167,13 +167,13 @@
 	return c
 }
 
-func encodeEnd(e quarantine.End) *pb.EndpointEnd {
+func encodeEnd(e quarantine.Crash) *pb.EndpointEnd {
 	return &pb.EndpointEnd{Digest: e.Digest[:], Life: e.Life, AgeMs: ageMs(e.Age), Cleared: e.Cleared}
 }
 
 // decodeEnd tells whether the end names a request and an endpoint.
-func decodeEnd(wire *pb.EndpointEnd) (quarantine.End, bool) {
-	e := quarantine.End{
+func decodeEnd(wire *pb.EndpointEnd) (quarantine.Crash, bool) {
+	e := quarantine.Crash{
 		Life:    wire.GetLife(),
 		Age:     age(wire.GetAgeMs()),
 		Cleared: wire.GetCleared(),
--- a/service/peers/ends_test.go
+++ b/service/peers/ends_test.go
@@ -14,10 +14,10 @@
 )
 
 // someEnds are n ends of endpoints, each under a request of its own.
-func someEnds(n int) []quarantine.End {
-	var ends []quarantine.End
+func someEnds(n int) []quarantine.Crash {
+	var ends []quarantine.Crash
 	for i := range n {
-		ends = append(ends, quarantine.End{
+		ends = append(ends, quarantine.Crash{
 			Digest:  quarantine.Sum("organisation", "", fmt.Sprint(i), nil),
 			Life:    fmt.Sprintf("bulletin-engine-%04d@1796204992778", i),
 			Age:     1500 * time.Millisecond,
