--- a/pkg/quarantine/gossip.go
+++ b/pkg/quarantine/gossip.go
@@ -94,7 +94,7 @@
 
 func (r *request) appendTo(crashes []Crash, d Digest, now time.Time) []Crash {
 	for incarnation, e := range r.crashes {
-		crashes = append(crashes, Crash{Digest: d, Life: incarnation, Age: now.Sub(e.at), Cleared: e.cleared})
+		crashes = append(crashes, Crash{Digest: d, Incarnation: incarnation, Age: now.Sub(e.at), Cleared: e.cleared})
 	}
 	return crashes
 }
--- a/pkg/quarantine/manager.go
+++ b/pkg/quarantine/manager.go
@@ -53,7 +53,7 @@
 // Note records a crash observed by this instance.
 func (k *Keeper) Note(d Digest, incarnation string) {
 	k.Table.Note(d, incarnation)
-	k.publish([]Crash{{Digest: d, Life: incarnation}})
+	k.publish([]Crash{{Digest: d, Incarnation: incarnation}})
 }
 
 // Clear records that a request ran without crashing its endpoint.
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -95,7 +95,9 @@
 }
 
 // Note records a crash observed by this instance.
-func (t *Table) Note(d Digest, incarnation string) { t.Hear([]Crash{{Digest: d, Life: incarnation}}) }
+func (t *Table) Note(d Digest, incarnation string) {
+	t.Hear([]Crash{{Digest: d, Incarnation: incarnation}})
+}
 
 // Clear records that a request ran without crashing its endpoint, so its earlier crashes no longer
 // count. It reports whether this changed the table.
@@ -139,7 +141,7 @@
 		r = &request{crashes: map[string]*crash{}}
 		t.requests[e.Digest] = r
 	}
-	if known := r.crashes[e.Life]; known != nil {
+	if known := r.crashes[e.Incarnation]; known != nil {
 		news := e.Cleared && !known.cleared
 		known.cleared = known.cleared || e.Cleared
 		if news {
@@ -151,14 +153,14 @@
 		return nil
 	}
 	at := t.clock.Now().Add(-e.Age)
-	r.crashes[e.Life] = &crash{at: at, cleared: e.Cleared}
+	r.crashes[e.Incarnation] = &crash{at: at, cleared: e.Cleared}
 	if at.After(r.lastCrash) {
 		r.lastCrash = at
 	}
-	if t.requestsByIncarnation[e.Life] == nil {
-		t.requestsByIncarnation[e.Life] = map[Digest]struct{}{}
+	if t.requestsByIncarnation[e.Incarnation] == nil {
+		t.requestsByIncarnation[e.Incarnation] = map[Digest]struct{}{}
 	}
-	t.requestsByIncarnation[e.Life][e.Digest] = struct{}{}
+	t.requestsByIncarnation[e.Incarnation][e.Digest] = struct{}{}
 	return r
 }
 
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -21,7 +21,7 @@
 func incarnation(n int) string { return fmt.Sprint("endpoint-", n) }
 
 func crash(request, endpoint int) quarantine.Crash {
-	return quarantine.Crash{Digest: digest(request), Life: incarnation(endpoint)}
+	return quarantine.Crash{Digest: digest(request), Incarnation: incarnation(endpoint)}
 }
 
 func newTable(clock clockwork.Clock) *quarantine.Table {
--- a/service/peers/datagram.go
+++ b/service/peers/datagram.go
@@ -168,18 +168,18 @@
 }
 
 func encodeEnd(e quarantine.Crash) *pb.EndpointEnd {
-	return &pb.EndpointEnd{Digest: e.Digest[:], Life: e.Life, AgeMs: ageMs(e.Age), Cleared: e.Cleared}
+	return &pb.EndpointEnd{Digest: e.Digest[:], Life: e.Incarnation, AgeMs: ageMs(e.Age), Cleared: e.Cleared}
 }
 
 // decodeEnd tells whether the end names a request and an endpoint.
 func decodeEnd(wire *pb.EndpointEnd) (quarantine.Crash, bool) {
 	e := quarantine.Crash{
-		Life:    wire.GetLife(),
-		Age:     age(wire.GetAgeMs()),
-		Cleared: wire.GetCleared(),
+		Incarnation: wire.GetLife(),
+		Age:         age(wire.GetAgeMs()),
+		Cleared:     wire.GetCleared(),
 	}
 	named := copy(e.Digest[:], wire.GetDigest()) == len(e.Digest) && len(wire.GetDigest()) == len(e.Digest)
-	return e, named && e.Life != ""
+	return e, named && e.Incarnation != ""
 }
 
 func encodeLimit(l throttle.Limit) *pb.EndpointLimit {
--- a/service/peers/ends_test.go
+++ b/service/peers/ends_test.go
@@ -18,10 +18,10 @@
 	var ends []quarantine.Crash
 	for i := range n {
 		ends = append(ends, quarantine.Crash{
-			Digest:  quarantine.Sum("organisation", "", fmt.Sprint(i), nil),
-			Life:    fmt.Sprintf("bulletin-engine-%04d@1796204992778", i),
-			Age:     1500 * time.Millisecond,
-			Cleared: i%2 == 0,
+			Digest:      quarantine.Sum("organisation", "", fmt.Sprint(i), nil),
+			Incarnation: fmt.Sprintf("bulletin-engine-%04d@1796204992778", i),
+			Age:         1500 * time.Millisecond,
+			Cleared:     i%2 == 0,
 		})
 	}
 	return ends
