--- a/cmd/cobaltcroftd/gateway/operators.go
+++ b/cmd/cobaltcroftd/gateway/operators.go
@@ -45,7 +45,7 @@
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return nil
-	case !g.quarantine.Holds(digest):
+	case !g.quarantine.IsQuarantined(digest):
 		unheld := problem.New(problem.NotFound, "list those that are with GET /quarantine", "no request with digest %s is refused here", digest)
 		http.Error(w, unheld.Error(), http.StatusNotFound)
 		return nil
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -52,7 +52,7 @@
 			return u.finalRefusal(refuseStopping())
 		}
 		u.Quarantine.Recall(ctx, u.digest)
-		if u.Quarantine.Holds(u.digest) {
+		if u.Quarantine.IsQuarantined(u.digest) {
 			// The request may have been quarantined while its stages were running.
 			return u.finalRefusal(refuseQuarantined())
 		}
--- a/pkg/gateway/executor.go
+++ b/pkg/gateway/executor.go
@@ -171,7 +171,7 @@
 		u.refuse(refusal)
 		return
 	}
-	if u.Quarantine.Holds(u.digest) {
+	if u.Quarantine.IsQuarantined(u.digest) {
 		// A client repeats such a request under new IDs and at other instances. Its stages are not
 		// run either.
 		u.refuse(refuseQuarantined())
--- a/pkg/quarantine/propagation_test.go
+++ b/pkg/quarantine/propagation_test.go
@@ -99,7 +99,7 @@
 			crashes = append(crashes, now)
 			flights = flights[1:]
 		}
-		if at := f.random.IntN(len(f.tables)); !f.tables[at].Holds(digest(1)) {
+		if at := f.random.IntN(len(f.tables)); !f.tables[at].IsQuarantined(digest(1)) {
 			flights = append(flights, inFlight{at, now.Add(crashDelay)})
 			if len(crashes) >= 3 && now.Sub(crashes[2]) > propagationBound {
 				late++
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -54,8 +54,8 @@
 	return &Table{clock: clock, log: log, requests: map[Digest]*request{}, requestsByIncarnation: map[string]map[Digest]struct{}{}}
 }
 
-// Holds reports whether a request is quarantined.
-func (t *Table) Holds(d Digest) bool {
+// IsQuarantined reports whether a request is quarantined.
+func (t *Table) IsQuarantined(d Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.requests[d]
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -43,11 +43,11 @@
 
 	It("holds a request under which three endpoints ended, and no other", func() {
 		for n := range 3 {
-			Expect(t.Holds(digest(poison))).To(BeFalse())
+			Expect(t.IsQuarantined(digest(poison))).To(BeFalse())
 			t.Note(digest(poison), incarnation(n))
 		}
-		Expect(t.Holds(digest(poison))).To(BeTrue())
-		Expect(t.Holds(digest(harmless))).To(BeFalse())
+		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
+		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse())
 		Expect(t.Held()).To(Equal(1))
 	})
 
@@ -57,14 +57,14 @@
 			t.Hear([]quarantine.Crash{crash(poison, 1), crash(poison, 1)})
 		}
 		Expect(t.Ends(digest(poison))).To(Equal(1))
-		Expect(t.Holds(digest(poison))).To(BeFalse())
+		Expect(t.IsQuarantined(digest(poison))).To(BeFalse())
 	})
 
 	It("adds up what several instances saw", func() {
 		t.Note(digest(poison), incarnation(1))
 		t.Hear([]quarantine.Crash{crash(poison, 2)})
 		t.Hear([]quarantine.Crash{crash(poison, 3)})
-		Expect(t.Holds(digest(poison))).To(BeTrue())
+		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
 	})
 
 	It("lets a request go that has run well since, and counts anew", func() {
@@ -73,14 +73,14 @@
 		}
 		Expect(t.Clear(digest(harmless))).To(BeTrue())
 		Expect(t.Clear(digest(harmless))).To(BeFalse(), "that is no news any more")
-		Expect(t.Holds(digest(harmless))).To(BeFalse())
+		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse())
 		Expect(t.Held()).To(BeZero())
 		t.Hear([]quarantine.Crash{crash(harmless, 0), crash(harmless, 1), crash(harmless, 2)})
-		Expect(t.Holds(digest(harmless))).To(BeFalse(), "who has not heard of it brings nothing back")
+		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse(), "who has not heard of it brings nothing back")
 		for n := 10; n < 13; n++ {
 			t.Note(digest(harmless), incarnation(n))
 		}
-		Expect(t.Holds(digest(harmless))).To(BeTrue())
+		Expect(t.IsQuarantined(digest(harmless))).To(BeTrue())
 	})
 
 	It("does not hold a request that only ran beside the one that ended its endpoints", func() {
@@ -89,8 +89,8 @@
 			t.Note(digest(harmless), incarnation(n))
 		}
 		t.Note(digest(poison), incarnation(3))
-		Expect(t.Holds(digest(poison))).To(BeTrue())
-		Expect(t.Holds(digest(harmless))).To(BeFalse())
+		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
+		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse())
 	})
 
 	// With three endpoints, a harmless request that is retried may run beside the crashing one each
@@ -102,8 +102,8 @@
 		}
 		Expect(t.Held()).To(BeZero())
 		t.Note(digest(poison), incarnation(3))
-		Expect(t.Holds(digest(poison))).To(BeTrue())
-		Expect(t.Holds(digest(harmless))).To(BeFalse())
+		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
+		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse())
 	})
 
 	It("holds both at five, since the users allow three more than three", func() {
@@ -112,11 +112,11 @@
 			t.Note(digest(poison), incarnation(n))
 			t.Note(digest(harmless), incarnation(n))
 		}
-		Expect(t.Holds(digest(poison))).To(BeTrue())
-		Expect(t.Holds(digest(harmless))).To(BeTrue())
+		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
+		Expect(t.IsQuarantined(digest(harmless))).To(BeTrue())
 		Expect(t.Clear(digest(harmless))).To(BeTrue())
-		Expect(t.Holds(digest(poison))).To(BeTrue())
-		Expect(t.Holds(digest(harmless))).To(BeFalse())
+		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
+		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse())
 	})
 
 	It("holds the one at once when the other has run well", func() {
@@ -125,7 +125,7 @@
 			t.Note(digest(harmless), incarnation(n))
 		}
 		t.Clear(digest(harmless))
-		Expect(t.Holds(digest(poison))).To(BeTrue())
+		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
 	})
 
 	It("forgets an end an hour later, wherever it was heard of last", func() {
@@ -135,12 +135,12 @@
 		}
 		clock.Advance(59 * time.Minute)
 		other.Hear(t.Tell(10))
-		Expect(other.Holds(digest(poison))).To(BeTrue())
+		Expect(other.IsQuarantined(digest(poison))).To(BeTrue())
 		clock.Advance(time.Minute)
 		t.Sweep()
 		other.Sweep()
-		Expect(t.Holds(digest(poison))).To(BeFalse())
-		Expect(other.Holds(digest(poison))).To(BeFalse())
+		Expect(t.IsQuarantined(digest(poison))).To(BeFalse())
+		Expect(other.IsQuarantined(digest(poison))).To(BeFalse())
 		Expect(other.Tell(10)).To(BeEmpty())
 	})
 
@@ -187,7 +187,7 @@
 			clock.Advance(time.Millisecond)
 			t.Note(digest(n), incarnation(n))
 		}
-		Expect(t.Holds(digest(-1))).To(BeTrue())
+		Expect(t.IsQuarantined(digest(-1))).To(BeTrue())
 		Expect(t.Ends(digest(0))).To(BeZero())
 		Expect(t.Ends(digest(9_999))).To(Equal(1))
 		for n := range 100 {
@@ -217,8 +217,8 @@
 			random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 			second.Hear(shuffled)
 			for n := range 5 {
-				if first.Holds(digest(n)) != second.Holds(digest(n)) || first.Ends(digest(n)) != second.Ends(digest(n)) {
-					r.Fatalf("request %d: held %v and %v", n, first.Holds(digest(n)), second.Holds(digest(n)))
+				if first.IsQuarantined(digest(n)) != second.IsQuarantined(digest(n)) || first.Ends(digest(n)) != second.Ends(digest(n)) {
+					r.Fatalf("request %d: held %v and %v", n, first.IsQuarantined(digest(n)), second.IsQuarantined(digest(n)))
 				}
 			}
 			if first.Held() != second.Held() {
@@ -237,7 +237,7 @@
 	d := digest(1)
 	b.ResetTimer()
 	for range b.N {
-		t.Holds(d)
+		t.IsQuarantined(d)
 	}
 }
 
