--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -215,7 +215,7 @@
 	// The group is put together below; no request comes before.
 	tellAll := func() { g.group.TellAll() }
 	g.quarantine = quarantine.NewKeeper(table, g.store, tellAll, g.clock, g.logs.For("quarantine"))
-	g.metrics.NewGauge("cobaltcroft_quarantined_requests", func() float64 { return float64(g.quarantine.Held()) })
+	g.metrics.NewGauge("cobaltcroft_quarantined_requests", func() float64 { return float64(g.quarantine.Count()) })
 	g.usage = peers.NewUsage(g.metrics)
 	g.client = peers.NewClient(s.Instance, s.PeerToken, g.usage)
 	g.gossip = peers.NewGossip(g.listeners.heartbeat, s.PeerToken, timeline.NewClock(g.clock), limits.NewShares(g.clock), g.metrics, g.logs.For("peers"), func(membership.Self, uint64) {})
--- a/pkg/quarantine/propagation_test.go
+++ b/pkg/quarantine/propagation_test.go
@@ -121,7 +121,7 @@
 				Expect(late).To(BeNumerically("<=", 3), "seed %d", seed)
 				Expect(len(crashes)).To(BeNumerically("<=", 12), "seed %d", seed)
 				for at, t := range f.tables {
-					Expect(t.Held()).To(Equal(1), "instance %d, seed %d", at, seed)
+					Expect(t.Count()).To(Equal(1), "instance %d, seed %d", at, seed)
 				}
 			}
 		},
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -87,8 +87,8 @@
 	return n
 }
 
-// Held returns the number of quarantined requests.
-func (t *Table) Held() int {
+// Count returns the number of quarantined requests.
+func (t *Table) Count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.quarantinedCount
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -48,7 +48,7 @@
 		}
 		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
 		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse())
-		Expect(t.Held()).To(Equal(1))
+		Expect(t.Count()).To(Equal(1))
 	})
 
 	It("counts a life of an endpoint once, however many tries ran there and whoever tells", func() {
@@ -74,7 +74,7 @@
 		Expect(t.Clear(digest(harmless))).To(BeTrue())
 		Expect(t.Clear(digest(harmless))).To(BeFalse(), "that is no news any more")
 		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse())
-		Expect(t.Held()).To(BeZero())
+		Expect(t.Count()).To(BeZero())
 		t.Hear([]quarantine.Crash{crash(harmless, 0), crash(harmless, 1), crash(harmless, 2)})
 		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse(), "who has not heard of it brings nothing back")
 		for n := 10; n < 13; n++ {
@@ -100,7 +100,7 @@
 			t.Note(digest(poison), incarnation(n))
 			t.Note(digest(harmless), incarnation(n))
 		}
-		Expect(t.Held()).To(BeZero())
+		Expect(t.Count()).To(BeZero())
 		t.Note(digest(poison), incarnation(3))
 		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
 		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse())
@@ -108,7 +108,7 @@
 
 	It("holds both at five, since the users allow three more than three", func() {
 		for n := range 5 {
-			Expect(t.Held()).To(BeZero())
+			Expect(t.Count()).To(BeZero())
 			t.Note(digest(poison), incarnation(n))
 			t.Note(digest(harmless), incarnation(n))
 		}
@@ -221,8 +221,8 @@
 					r.Fatalf("request %d: held %v and %v", n, first.IsQuarantined(digest(n)), second.IsQuarantined(digest(n)))
 				}
 			}
-			if first.Held() != second.Held() {
-				r.Fatalf("%d and %d are held", first.Held(), second.Held())
+			if first.Count() != second.Count() {
+				r.Fatalf("%d and %d are held", first.Count(), second.Count())
 			}
 		})
 	})
