--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -146,7 +146,7 @@
 func (u *run) pick() *balance.Call {
 	need := u.constraints()
 	need.Prefer = u.reader
-	if u.Quarantine.Suspects(u.digest) {
+	if u.Quarantine.IsSuspect(u.digest) {
 		need.Apart = u.digest.String()
 	}
 	if len(u.inputs) > 0 {
--- a/pkg/quarantine/manager.go
+++ b/pkg/quarantine/manager.go
@@ -79,7 +79,7 @@
 // quarantined: unreachable instances may have seen the others. This limits the crashes on each side
 // of a partition, and after a restart of all instances, to one.
 func (k *Keeper) Recall(ctx context.Context, d Digest) {
-	if !k.Suspects(d) || k.IsQuarantined(d) {
+	if !k.IsSuspect(d) || k.IsQuarantined(d) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -62,8 +62,8 @@
 	return r != nil && r.quarantined
 }
 
-// Suspects reports whether an endpoint has crashed while running the request.
-func (t *Table) Suspects(d Digest) bool { return t.Ends(d) > 0 }
+// IsSuspect reports whether an endpoint has crashed while running the request.
+func (t *Table) IsSuspect(d Digest) bool { return t.Ends(d) > 0 }
 
 // Ends returns the number of endpoints that have crashed while running the request.
 func (t *Table) Ends(d Digest) int {
