--- a/pkg/gateway/crash.go
+++ b/pkg/gateway/crash.go
@@ -79,7 +79,7 @@
 	}
 	u.Log.WithFields(logrus.Fields{
 		"event": "endpoint_broke_off", "id": u.request.ID, "digest": u.digest.String(), "endpoint": call.Endpoint.ID,
-		"sign": string(state), "ends": u.Quarantine.Ends(u.digest),
+		"sign": string(state), "ends": u.Quarantine.CrashCount(u.digest),
 	}).Info()
 }
 
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -63,10 +63,10 @@
 }
 
 // IsSuspect reports whether an endpoint has crashed while running the request.
-func (t *Table) IsSuspect(d Digest) bool { return t.Ends(d) > 0 }
+func (t *Table) IsSuspect(d Digest) bool { return t.CrashCount(d) > 0 }
 
-// Ends returns the number of endpoints that have crashed while running the request.
-func (t *Table) Ends(d Digest) int {
+// CrashCount returns the number of endpoints that have crashed while running the request.
+func (t *Table) CrashCount(d Digest) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.requests[d]
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -56,7 +56,7 @@
 			t.Note(digest(poison), incarnation(1))
 			t.Hear([]quarantine.Crash{crash(poison, 1), crash(poison, 1)})
 		}
-		Expect(t.Ends(digest(poison))).To(Equal(1))
+		Expect(t.CrashCount(digest(poison))).To(Equal(1))
 		Expect(t.IsQuarantined(digest(poison))).To(BeFalse())
 	})
 
@@ -157,7 +157,7 @@
 			other.Hear(t.Tell(4))
 		}
 		for n := range 40 {
-			Expect(other.Ends(digest(n))).To(Equal(2))
+			Expect(other.CrashCount(digest(n))).To(Equal(2))
 		}
 	})
 
@@ -176,7 +176,7 @@
 		Expect(t.Tell(4)).To(HaveLen(1))
 		clock.Advance(30 * time.Second)
 		Expect(t.Tell(4)).To(BeEmpty())
-		Expect(t.Ends(digest(harmless))).To(Equal(1))
+		Expect(t.CrashCount(digest(harmless))).To(Equal(1))
 	})
 
 	It("bounds what it keeps, and drops no request that it holds for others", func() {
@@ -188,12 +188,12 @@
 			t.Note(digest(n), incarnation(n))
 		}
 		Expect(t.IsQuarantined(digest(-1))).To(BeTrue())
-		Expect(t.Ends(digest(0))).To(BeZero())
-		Expect(t.Ends(digest(9_999))).To(Equal(1))
+		Expect(t.CrashCount(digest(0))).To(BeZero())
+		Expect(t.CrashCount(digest(9_999))).To(Equal(1))
 		for n := range 100 {
 			t.Note(digest(-1), incarnation(n))
 		}
-		Expect(t.Ends(digest(-1))).To(Equal(8))
+		Expect(t.CrashCount(digest(-1))).To(Equal(8))
 	})
 })
 
@@ -217,7 +217,7 @@
 			random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 			second.Hear(shuffled)
 			for n := range 5 {
-				if first.IsQuarantined(digest(n)) != second.IsQuarantined(digest(n)) || first.Ends(digest(n)) != second.Ends(digest(n)) {
+				if first.IsQuarantined(digest(n)) != second.IsQuarantined(digest(n)) || first.CrashCount(digest(n)) != second.CrashCount(digest(n)) {
 					r.Fatalf("request %d: held %v and %v", n, first.IsQuarantined(digest(n)), second.IsQuarantined(digest(n)))
 				}
 			}
