--- a/pkg/gateway/crash.go
+++ b/pkg/gateway/crash.go
@@ -75,7 +75,7 @@
 	defer cancel()
 	state := u.Conns.Probe(ctx, u.target(call))
 	if state == httpconn.Ended && u.expectedUp(call.Endpoint) {
-		u.Quarantine.Note(u.digest, call.Endpoint.ID)
+		u.Quarantine.RecordCrash(u.digest, call.Endpoint.ID)
 	}
 	u.Log.WithFields(logrus.Fields{
 		"event": "endpoint_broke_off", "id": u.request.ID, "digest": u.digest.String(), "endpoint": call.Endpoint.ID,
--- a/pkg/quarantine/manager.go
+++ b/pkg/quarantine/manager.go
@@ -50,9 +50,9 @@
 	return &Keeper{Table: table, store: store, broadcast: broadcast, clock: clock, log: log, pendingWrites: make(chan Crash, writeQueueSize)}
 }
 
-// Note records a crash observed by this instance.
-func (k *Keeper) Note(d Digest, incarnation string) {
-	k.Table.Note(d, incarnation)
+// RecordCrash records a crash observed by this instance.
+func (k *Keeper) RecordCrash(d Digest, incarnation string) {
+	k.Table.RecordCrash(d, incarnation)
 	k.publish([]Crash{{Digest: d, Incarnation: incarnation}})
 }
 
--- a/pkg/quarantine/propagation_test.go
+++ b/pkg/quarantine/propagation_test.go
@@ -75,7 +75,7 @@
 func (f *fleet) crash(endpoints int) {
 	for n := range endpoints {
 		at := f.random.IntN(len(f.tables))
-		f.tables[at].Note(digest(1000+n), incarnation(1000+n))
+		f.tables[at].RecordCrash(digest(1000+n), incarnation(1000+n))
 		f.broadcast(at)
 	}
 }
@@ -94,7 +94,7 @@
 		now := f.clock.Now()
 		for len(flights) > 0 && !flights[0].due.After(now) {
 			at := flights[0].instance
-			f.tables[at].Note(digest(1), incarnation(len(crashes)))
+			f.tables[at].RecordCrash(digest(1), incarnation(len(crashes)))
 			f.broadcast(at)
 			crashes = append(crashes, now)
 			flights = flights[1:]
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -94,8 +94,8 @@
 	return t.quarantinedCount
 }
 
-// Note records a crash observed by this instance.
-func (t *Table) Note(d Digest, incarnation string) {
+// RecordCrash records a crash observed by this instance.
+func (t *Table) RecordCrash(d Digest, incarnation string) {
 	t.Hear([]Crash{{Digest: d, Incarnation: incarnation}})
 }
 
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -44,7 +44,7 @@
 	It("holds a request under which three endpoints ended, and no other", func() {
 		for n := range 3 {
 			Expect(t.IsQuarantined(digest(poison))).To(BeFalse())
-			t.Note(digest(poison), incarnation(n))
+			t.RecordCrash(digest(poison), incarnation(n))
 		}
 		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
 		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse())
@@ -53,7 +53,7 @@
 
 	It("counts a life of an endpoint once, however many tries ran there and whoever tells", func() {
 		for range 4 {
-			t.Note(digest(poison), incarnation(1))
+			t.RecordCrash(digest(poison), incarnation(1))
 			t.Hear([]quarantine.Crash{crash(poison, 1), crash(poison, 1)})
 		}
 		Expect(t.CrashCount(digest(poison))).To(Equal(1))
@@ -61,7 +61,7 @@
 	})
 
 	It("adds up what several instances saw", func() {
-		t.Note(digest(poison), incarnation(1))
+		t.RecordCrash(digest(poison), incarnation(1))
 		t.Hear([]quarantine.Crash{crash(poison, 2)})
 		t.Hear([]quarantine.Crash{crash(poison, 3)})
 		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
@@ -69,7 +69,7 @@
 
 	It("lets a request go that has run well since, and counts anew", func() {
 		for n := range 3 {
-			t.Note(digest(harmless), incarnation(n))
+			t.RecordCrash(digest(harmless), incarnation(n))
 		}
 		Expect(t.Clear(digest(harmless))).To(BeTrue())
 		Expect(t.Clear(digest(harmless))).To(BeFalse(), "that is no news any more")
@@ -78,17 +78,17 @@
 		t.Hear([]quarantine.Crash{crash(harmless, 0), crash(harmless, 1), crash(harmless, 2)})
 		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse(), "who has not heard of it brings nothing back")
 		for n := 10; n < 13; n++ {
-			t.Note(digest(harmless), incarnation(n))
+			t.RecordCrash(digest(harmless), incarnation(n))
 		}
 		Expect(t.IsQuarantined(digest(harmless))).To(BeTrue())
 	})
 
 	It("does not hold a request that only ran beside the one that ended its endpoints", func() {
 		for n := range 3 {
-			t.Note(digest(poison), incarnation(n))
-			t.Note(digest(harmless), incarnation(n))
+			t.RecordCrash(digest(poison), incarnation(n))
+			t.RecordCrash(digest(harmless), incarnation(n))
 		}
-		t.Note(digest(poison), incarnation(3))
+		t.RecordCrash(digest(poison), incarnation(3))
 		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
 		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse())
 	})
@@ -97,11 +97,11 @@
 	// time.
 	It("holds neither of two that ran beside each other each time, until it shows which it was", func() {
 		for n := range 3 {
-			t.Note(digest(poison), incarnation(n))
-			t.Note(digest(harmless), incarnation(n))
+			t.RecordCrash(digest(poison), incarnation(n))
+			t.RecordCrash(digest(harmless), incarnation(n))
 		}
 		Expect(t.Count()).To(BeZero())
-		t.Note(digest(poison), incarnation(3))
+		t.RecordCrash(digest(poison), incarnation(3))
 		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
 		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse())
 	})
@@ -109,8 +109,8 @@
 	It("holds both at five, since the users allow three more than three", func() {
 		for n := range 5 {
 			Expect(t.Count()).To(BeZero())
-			t.Note(digest(poison), incarnation(n))
-			t.Note(digest(harmless), incarnation(n))
+			t.RecordCrash(digest(poison), incarnation(n))
+			t.RecordCrash(digest(harmless), incarnation(n))
 		}
 		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
 		Expect(t.IsQuarantined(digest(harmless))).To(BeTrue())
@@ -121,8 +121,8 @@
 
 	It("holds the one at once when the other has run well", func() {
 		for n := range 3 {
-			t.Note(digest(poison), incarnation(n))
-			t.Note(digest(harmless), incarnation(n))
+			t.RecordCrash(digest(poison), incarnation(n))
+			t.RecordCrash(digest(harmless), incarnation(n))
 		}
 		t.Clear(digest(harmless))
 		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
@@ -131,7 +131,7 @@
 	It("forgets an end an hour later, wherever it was heard of last", func() {
 		other := newTable(clock)
 		for n := range 3 {
-			t.Note(digest(poison), incarnation(n))
+			t.RecordCrash(digest(poison), incarnation(n))
 		}
 		clock.Advance(59 * time.Minute)
 		other.Hear(t.Tell(10))
@@ -162,17 +162,17 @@
 	})
 
 	It("tells of a request with several ends however many others have one", func() {
-		t.Note(digest(poison), incarnation(1))
-		t.Note(digest(poison), incarnation(2))
+		t.RecordCrash(digest(poison), incarnation(1))
+		t.RecordCrash(digest(poison), incarnation(2))
 		for n := range 100 {
 			clock.Advance(time.Millisecond)
-			t.Note(digest(10+n), incarnation(10+n))
+			t.RecordCrash(digest(10+n), incarnation(10+n))
 		}
 		Expect(t.Tell(4)).To(ContainElements(HaveField("Life", incarnation(1)), HaveField("Life", incarnation(2))))
 	})
 
 	It("stops telling of requests under which one endpoint alone ended", func() {
-		t.Note(digest(harmless), incarnation(1))
+		t.RecordCrash(digest(harmless), incarnation(1))
 		Expect(t.Tell(4)).To(HaveLen(1))
 		clock.Advance(30 * time.Second)
 		Expect(t.Tell(4)).To(BeEmpty())
@@ -181,17 +181,17 @@
 
 	It("bounds what it keeps, and drops no request that it holds for others", func() {
 		for n := range 3 {
-			t.Note(digest(-1), incarnation(n))
+			t.RecordCrash(digest(-1), incarnation(n))
 		}
 		for n := range 10_000 {
 			clock.Advance(time.Millisecond)
-			t.Note(digest(n), incarnation(n))
+			t.RecordCrash(digest(n), incarnation(n))
 		}
 		Expect(t.IsQuarantined(digest(-1))).To(BeTrue())
 		Expect(t.CrashCount(digest(0))).To(BeZero())
 		Expect(t.CrashCount(digest(9_999))).To(Equal(1))
 		for n := range 100 {
-			t.Note(digest(-1), incarnation(n))
+			t.RecordCrash(digest(-1), incarnation(n))
 		}
 		Expect(t.CrashCount(digest(-1))).To(Equal(8))
 	})
@@ -232,7 +232,7 @@
 func BenchmarkHolds(b *testing.B) {
 	t := newTable(clockwork.NewRealClock())
 	for n := range 2400 {
-		t.Note(digest(n), incarnation(n/10))
+		t.RecordCrash(digest(n), incarnation(n/10))
 	}
 	d := digest(1)
 	b.ResetTimer()
@@ -257,7 +257,7 @@
 		t := newTable(clockwork.NewRealClock())
 		for request := range 4096 {
 			for n := range 8 {
-				t.Note(digest(request), incarnation(8*request+n))
+				t.RecordCrash(digest(request), incarnation(8*request+n))
 			}
 		}
 		runtime.GC()
