--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -23,7 +23,7 @@
 		Revision:       g.documentRevision,
 		HeardRevision:  g.hearRevision,
 		Ends:           g.quarantine.Tell,
-		HeardEnds:      g.quarantine.Hear,
+		HeardEnds:      g.quarantine.Merge,
 		Departing:      g.departing,
 		HeardDeparting: g.hearDeparting,
 		Limits:         g.tellLimits,
--- a/pkg/quarantine/manager.go
+++ b/pkg/quarantine/manager.go
@@ -89,7 +89,7 @@
 		k.log.WithFields(logrus.Fields{"event": "ends_not_recalled", "digest": d.String()}).Info(err)
 		return
 	}
-	k.Hear(crashes)
+	k.Merge(crashes)
 }
 
 // Run writes crashes to the store until ctx ends.
--- a/pkg/quarantine/propagation_test.go
+++ b/pkg/quarantine/propagation_test.go
@@ -41,7 +41,7 @@
 
 func (f *fleet) send(crashes []quarantine.Crash, to int) {
 	if f.random.Float64() >= f.loss {
-		f.tables[to].Hear(crashes)
+		f.tables[to].Merge(crashes)
 	}
 }
 
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -96,7 +96,7 @@
 
 // RecordCrash records a crash observed by this instance.
 func (t *Table) RecordCrash(d Digest, incarnation string) {
-	t.Hear([]Crash{{Digest: d, Incarnation: incarnation}})
+	t.Merge([]Crash{{Digest: d, Incarnation: incarnation}})
 }
 
 // Clear records that a request ran without crashing its endpoint, so its earlier crashes no longer
@@ -119,8 +119,8 @@
 	return changed
 }
 
-// Hear merges crashes reported by another instance.
-func (t *Table) Hear(crashes []Crash) {
+// Merge merges crashes reported by another instance.
+func (t *Table) Merge(crashes []Crash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range crashes {
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -54,7 +54,7 @@
 	It("counts a life of an endpoint once, however many tries ran there and whoever tells", func() {
 		for range 4 {
 			t.RecordCrash(digest(poison), incarnation(1))
-			t.Hear([]quarantine.Crash{crash(poison, 1), crash(poison, 1)})
+			t.Merge([]quarantine.Crash{crash(poison, 1), crash(poison, 1)})
 		}
 		Expect(t.CrashCount(digest(poison))).To(Equal(1))
 		Expect(t.IsQuarantined(digest(poison))).To(BeFalse())
@@ -62,8 +62,8 @@
 
 	It("adds up what several instances saw", func() {
 		t.RecordCrash(digest(poison), incarnation(1))
-		t.Hear([]quarantine.Crash{crash(poison, 2)})
-		t.Hear([]quarantine.Crash{crash(poison, 3)})
+		t.Merge([]quarantine.Crash{crash(poison, 2)})
+		t.Merge([]quarantine.Crash{crash(poison, 3)})
 		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
 	})
 
@@ -75,7 +75,7 @@
 		Expect(t.Clear(digest(harmless))).To(BeFalse(), "that is no news any more")
 		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse())
 		Expect(t.Count()).To(BeZero())
-		t.Hear([]quarantine.Crash{crash(harmless, 0), crash(harmless, 1), crash(harmless, 2)})
+		t.Merge([]quarantine.Crash{crash(harmless, 0), crash(harmless, 1), crash(harmless, 2)})
 		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse(), "who has not heard of it brings nothing back")
 		for n := 10; n < 13; n++ {
 			t.RecordCrash(digest(harmless), incarnation(n))
@@ -134,7 +134,7 @@
 			t.RecordCrash(digest(poison), incarnation(n))
 		}
 		clock.Advance(59 * time.Minute)
-		other.Hear(t.Tell(10))
+		other.Merge(t.Tell(10))
 		Expect(other.IsQuarantined(digest(poison))).To(BeTrue())
 		clock.Advance(time.Minute)
 		t.Sweep()
@@ -146,7 +146,7 @@
 
 	It("tells the newest ends first, and in time all that count", func() {
 		for n := range 40 {
-			t.Hear([]quarantine.Crash{crash(n, 2*n), crash(n, 2*n+1)})
+			t.Merge([]quarantine.Crash{crash(n, 2*n), crash(n, 2*n+1)})
 			clock.Advance(time.Second)
 		}
 		told := t.Tell(4)
@@ -154,7 +154,7 @@
 		Expect(told).To(ContainElements(HaveField("Digest", digest(39)), HaveField("Age", time.Second)))
 		other := newTable(clock)
 		for range 1000 {
-			other.Hear(t.Tell(4))
+			other.Merge(t.Tell(4))
 		}
 		for n := range 40 {
 			Expect(other.CrashCount(digest(n))).To(Equal(2))
@@ -210,12 +210,12 @@
 			clock := clockwork.NewFakeClock()
 			first, second := newTable(clock), newTable(clock)
 			for _, e := range crashes {
-				first.Hear([]quarantine.Crash{e})
+				first.Merge([]quarantine.Crash{e})
 			}
 			shuffled := append(append([]quarantine.Crash{}, crashes...), crashes...)
 			random := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 0))
 			random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
-			second.Hear(shuffled)
+			second.Merge(shuffled)
 			for n := range 5 {
 				if first.IsQuarantined(digest(n)) != second.IsQuarantined(digest(n)) || first.CrashCount(digest(n)) != second.CrashCount(digest(n)) {
 					r.Fatalf("request %d: held %v and %v", n, first.IsQuarantined(digest(n)), second.IsQuarantined(digest(n)))
