--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -22,7 +22,7 @@
 		HeardDivision:  g.hearDivision,
 		Revision:       g.documentRevision,
 		HeardRevision:  g.hearRevision,
-		Ends:           g.quarantine.Tell,
+		Ends:           g.quarantine.Recent,
 		HeardEnds:      g.quarantine.Merge,
 		Departing:      g.departing,
 		HeardDeparting: g.hearDeparting,
--- a/pkg/quarantine/gossip.go
+++ b/pkg/quarantine/gossip.go
@@ -12,10 +12,10 @@
 // kept.
 const singleCrashGossipPeriod = 30 * time.Second
 
-// Tell returns up to n crashes to report to other instances. Half of them are the newest crashes of
+// Recent returns up to n crashes to report to other instances. Half of them are the newest crashes of
 // requests with several; the rest are random, so that all are reported in time even after many
 // endpoints have crashed at once.
-func (t *Table) Tell(n int) []Crash {
+func (t *Table) Recent(n int) []Crash {
 	all := t.gossipCandidates()
 	if len(all) <= n {
 		return all
--- a/pkg/quarantine/propagation_test.go
+++ b/pkg/quarantine/propagation_test.go
@@ -46,7 +46,7 @@
 }
 
 func (f *fleet) broadcast(from int) {
-	crashes := f.tables[from].Tell(32)
+	crashes := f.tables[from].Recent(32)
 	for to := range f.tables {
 		f.send(crashes, to)
 	}
@@ -59,7 +59,7 @@
 		if from%turns != n%turns {
 			continue
 		}
-		crashes := f.tables[from].Tell(4)
+		crashes := f.tables[from].Recent(4)
 		for to := range f.tables {
 			if to%domains == from%domains {
 				f.send(crashes, to)
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -134,14 +134,14 @@
 			t.RecordCrash(digest(poison), incarnation(n))
 		}
 		clock.Advance(59 * time.Minute)
-		other.Merge(t.Tell(10))
+		other.Merge(t.Recent(10))
 		Expect(other.IsQuarantined(digest(poison))).To(BeTrue())
 		clock.Advance(time.Minute)
 		t.Sweep()
 		other.Sweep()
 		Expect(t.IsQuarantined(digest(poison))).To(BeFalse())
 		Expect(other.IsQuarantined(digest(poison))).To(BeFalse())
-		Expect(other.Tell(10)).To(BeEmpty())
+		Expect(other.Recent(10)).To(BeEmpty())
 	})
 
 	It("tells the newest ends first, and in time all that count", func() {
@@ -149,12 +149,12 @@
 			t.Merge([]quarantine.Crash{crash(n, 2*n), crash(n, 2*n+1)})
 			clock.Advance(time.Second)
 		}
-		told := t.Tell(4)
+		told := t.Recent(4)
 		Expect(told).To(HaveLen(4))
 		Expect(told).To(ContainElements(HaveField("Digest", digest(39)), HaveField("Age", time.Second)))
 		other := newTable(clock)
 		for range 1000 {
-			other.Merge(t.Tell(4))
+			other.Merge(t.Recent(4))
 		}
 		for n := range 40 {
 			Expect(other.CrashCount(digest(n))).To(Equal(2))
@@ -168,14 +168,14 @@
 			clock.Advance(time.Millisecond)
 			t.RecordCrash(digest(10+n), incarnation(10+n))
 		}
-		Expect(t.Tell(4)).To(ContainElements(HaveField("Life", incarnation(1)), HaveField("Life", incarnation(2))))
+		Expect(t.Recent(4)).To(ContainElements(HaveField("Life", incarnation(1)), HaveField("Life", incarnation(2))))
 	})
 
 	It("stops telling of requests under which one endpoint alone ended", func() {
 		t.RecordCrash(digest(harmless), incarnation(1))
-		Expect(t.Tell(4)).To(HaveLen(1))
+		Expect(t.Recent(4)).To(HaveLen(1))
 		clock.Advance(30 * time.Second)
-		Expect(t.Tell(4)).To(BeEmpty())
+		Expect(t.Recent(4)).To(BeEmpty())
 		Expect(t.CrashCount(digest(harmless))).To(Equal(1))
 	})
 
