--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -160,7 +160,7 @@
 			Expect(ended()).To(BeNumerically("<=", mayEnd))
 		}
 		lapse()
-		var list []quarantine.HeldRequest
+		var list []quarantine.QuarantinedRequest
 		status, body := operate(instances[0], http.MethodGet, "/quarantine")
 		Expect(status).To(Equal(http.StatusOK))
 		Expect(json.Unmarshal([]byte(body), &list)).To(Succeed())
--- a/pkg/quarantine/gossip.go
+++ b/pkg/quarantine/gossip.go
@@ -46,8 +46,8 @@
 	return append(repeated, single...)
 }
 
-// HeldRequest describes a quarantined request.
-type HeldRequest struct {
+// QuarantinedRequest describes a quarantined request.
+type QuarantinedRequest struct {
 	Digest string `json:"digest"`
 	// Endpoints are the incarnations that crashed.
 	Endpoints []string `json:"endpoints"`
@@ -56,16 +56,16 @@
 }
 
 // List returns the quarantined requests, the newest first.
-func (t *Table) List() []HeldRequest {
+func (t *Table) List() []QuarantinedRequest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	list := []HeldRequest{}
+	list := []QuarantinedRequest{}
 	for d, r := range t.requests {
 		if r.quarantined {
-			list = append(list, HeldRequest{Digest: d.String(), Endpoints: r.activeIncarnations(), LastMs: t.clock.Since(r.lastCrash).Milliseconds()})
+			list = append(list, QuarantinedRequest{Digest: d.String(), Endpoints: r.activeIncarnations(), LastMs: t.clock.Since(r.lastCrash).Milliseconds()})
 		}
 	}
-	slices.SortFunc(list, func(a, b HeldRequest) int { return cmp.Compare(a.LastMs, b.LastMs) })
+	slices.SortFunc(list, func(a, b QuarantinedRequest) int { return cmp.Compare(a.LastMs, b.LastMs) })
 	return list
 }
 
