--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -104,7 +104,7 @@
 	budget *retry.Budget
 	pieces *retry.Budget
 	// quarantine has the requests that end their endpoints.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Manager
 	// rollouts move traffic between versions.
 	rollouts *rollout.Keeper
 	// held counts the bodies and answers that are held.
@@ -214,7 +214,7 @@
 	table := quarantine.New(g.clock, g.logs.For("quarantine"))
 	// The group is put together below; no request comes before.
 	tellAll := func() { g.group.TellAll() }
-	g.quarantine = quarantine.NewKeeper(table, g.store, tellAll, g.clock, g.logs.For("quarantine"))
+	g.quarantine = quarantine.NewManager(table, g.store, tellAll, g.clock, g.logs.For("quarantine"))
 	g.metrics.NewGauge("cobaltcroft_quarantined_requests", func() float64 { return float64(g.quarantine.Count()) })
 	g.usage = peers.NewUsage(g.metrics)
 	g.client = peers.NewClient(s.Instance, s.PeerToken, g.usage)
--- a/pkg/gateway/executor.go
+++ b/pkg/gateway/executor.go
@@ -57,7 +57,7 @@
 	// endpoints of its service are cold. If nil, this instance sponsors none.
 	Sponsors func(endpoint string) bool
 	// Quarantine tracks requests that crash their endpoints.
-	Quarantine *quarantine.Keeper
+	Quarantine *quarantine.Manager
 	// Rollouts collects the outcomes of attempts per version.
 	Rollouts *rollout.Participant
 	// Held accounts for the memory of buffered responses. Optional.
--- a/pkg/quarantine/manager.go
+++ b/pkg/quarantine/manager.go
@@ -31,9 +31,9 @@
 	Kept(ctx context.Context, d Digest) ([]Crash, error)
 }
 
-// Keeper is a Table that shares its changes with the other instances and a store. It is safe for
+// Manager is a Table that shares its changes with the other instances and a store. It is safe for
 // concurrent use.
-type Keeper struct {
+type Manager struct {
 	*Table
 	store Store
 	// broadcast sends recent changes of the table to all other instances.
@@ -44,27 +44,27 @@
 	pendingWrites chan Crash
 }
 
-// NewKeeper returns a Keeper for a table. broadcast sends recent changes of the table to all other
+// NewManager returns a Keeper for a table. broadcast sends recent changes of the table to all other
 // instances and must not block.
-func NewKeeper(table *Table, store Store, broadcast func(), clock clockwork.Clock, log *logrus.Entry) *Keeper {
-	return &Keeper{Table: table, store: store, broadcast: broadcast, clock: clock, log: log, pendingWrites: make(chan Crash, writeQueueSize)}
+func NewManager(table *Table, store Store, broadcast func(), clock clockwork.Clock, log *logrus.Entry) *Manager {
+	return &Manager{Table: table, store: store, broadcast: broadcast, clock: clock, log: log, pendingWrites: make(chan Crash, writeQueueSize)}
 }
 
 // RecordCrash records a crash observed by this instance.
-func (k *Keeper) RecordCrash(d Digest, incarnation string) {
+func (k *Manager) RecordCrash(d Digest, incarnation string) {
 	k.Table.RecordCrash(d, incarnation)
 	k.publish([]Crash{{Digest: d, Incarnation: incarnation}})
 }
 
 // Clear records that a request ran without crashing its endpoint.
-func (k *Keeper) Clear(d Digest) {
+func (k *Manager) Clear(d Digest) {
 	if k.Table.Clear(d) {
 		k.publish(k.Table.crashesOf(d))
 	}
 }
 
 // publish broadcasts changes and queues crashes to be written.
-func (k *Keeper) publish(crashes []Crash) {
+func (k *Manager) publish(crashes []Crash) {
 	k.broadcast()
 	for _, e := range crashes {
 		select {
@@ -78,7 +78,7 @@
 // Recall loads the crashes of a request from the store if the request has some but is not
 // quarantined: unreachable instances may have seen the others. This limits the crashes on each side
 // of a partition, and after a restart of all instances, to one.
-func (k *Keeper) Recall(ctx context.Context, d Digest) {
+func (k *Manager) Recall(ctx context.Context, d Digest) {
 	if !k.IsSuspect(d) || k.IsQuarantined(d) {
 		return
 	}
@@ -93,7 +93,7 @@
 }
 
 // Run writes crashes to the store until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	for {
 		select {
 		case e := <-k.pendingWrites:
@@ -105,7 +105,7 @@
 }
 
 // collectBatch returns a crash and those queued after it.
-func (k *Keeper) collectBatch(first Crash) []Crash {
+func (k *Manager) collectBatch(first Crash) []Crash {
 	crashes := []Crash{first}
 	for len(crashes) < maxWriteBatch {
 		select {
@@ -119,7 +119,7 @@
 }
 
 // writeWithRetry writes crashes and retries failed writes.
-func (k *Keeper) writeWithRetry(ctx context.Context, crashes []Crash) {
+func (k *Manager) writeWithRetry(ctx context.Context, crashes []Crash) {
 	for attempt := 1; ; attempt++ {
 		err := k.write(ctx, crashes)
 		if err == nil || ctx.Err() != nil {
@@ -137,7 +137,7 @@
 	}
 }
 
-func (k *Keeper) write(ctx context.Context, crashes []Crash) error {
+func (k *Manager) write(ctx context.Context, crashes []Crash) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	return k.store.Keep(ctx, crashes)
