--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -51,7 +51,7 @@
 		if u.draining() {
 			return u.finalRefusal(refuseStopping())
 		}
-		u.Quarantine.Recall(ctx, u.digest)
+		u.Quarantine.LoadCrashes(ctx, u.digest)
 		if u.Quarantine.IsQuarantined(u.digest) {
 			// The request may have been quarantined while its stages were running.
 			return u.finalRefusal(refuseQuarantined())
--- a/pkg/quarantine/manager.go
+++ b/pkg/quarantine/manager.go
@@ -75,10 +75,10 @@
 	}
 }
 
-// Recall loads the crashes of a request from the store if the request has some but is not
+// LoadCrashes loads the crashes of a request from the store if the request has some but is not
 // quarantined: unreachable instances may have seen the others. This limits the crashes on each side
 // of a partition, and after a restart of all instances, to one.
-func (k *Manager) Recall(ctx context.Context, d Digest) {
+func (k *Manager) LoadCrashes(ctx context.Context, d Digest) {
 	if !k.IsSuspect(d) || k.IsQuarantined(d) {
 		return
 	}
