--- a/pkg/quarantine/manager.go
+++ b/pkg/quarantine/manager.go
@@ -25,10 +25,10 @@
 // Store persists crashes for instances that cannot reach each other: during a network partition, or
 // after all instances have restarted. It may discard them after ten minutes.
 type Store interface {
-	// Keep writes crashes.
-	Keep(ctx context.Context, crashes []Crash) error
-	// Kept returns the crashes of a request.
-	Kept(ctx context.Context, d Digest) ([]Crash, error)
+	// SaveCrashes writes crashes.
+	SaveCrashes(ctx context.Context, crashes []Crash) error
+	// LoadCrashes returns the crashes of a request.
+	LoadCrashes(ctx context.Context, d Digest) ([]Crash, error)
 }
 
 // Manager is a Table that shares its changes with the other instances and a store. It is safe for
@@ -84,7 +84,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	crashes, err := k.store.Kept(ctx, d)
+	crashes, err := k.store.LoadCrashes(ctx, d)
 	if err != nil {
 		k.log.WithFields(logrus.Fields{"event": "ends_not_recalled", "digest": d.String()}).Info(err)
 		return
@@ -140,5 +140,5 @@
 func (k *Manager) write(ctx context.Context, crashes []Crash) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	return k.store.Keep(ctx, crashes)
+	return k.store.SaveCrashes(ctx, crashes)
 }
