--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -282,7 +282,7 @@
 // handleResponse handles a response whose header has been received.
 func (u *run) handleResponse(ctx context.Context, call *balance.Call, answer *httpconn.Answer, verdict Verdict) attemptResult {
 	switch {
-	case verdict.Wrong:
+	case verdict.WrongEndpoint:
 		call.End(balance.Unreachable, nil)
 		return resultNotRun
 	case verdict.NotRun:
--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -57,8 +57,8 @@
 type Verdict struct {
 	// NotRun: the endpoint has not run the request and will not run it.
 	NotRun bool
-	// Wrong: the address now belongs to another endpoint; the request has not run.
-	Wrong bool
+	// WrongEndpoint: the address now belongs to another endpoint; the request has not run.
+	WrongEndpoint bool
 	// Sealed: the response carries the seal of an endpoint.
 	Sealed bool
 	// Load is the load reported by the endpoint, or nil.
