--- a/pkg/gateway/executor.go
+++ b/pkg/gateway/executor.go
@@ -263,8 +263,8 @@
 	if limit <= 0 {
 		limit = defaultTimeout
 	}
-	if u.request.Wait > 0 {
-		limit = min(limit, u.request.Wait)
+	if u.request.MaxWait > 0 {
+		limit = min(limit, u.request.MaxWait)
 	}
 	return limit
 }
--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -24,8 +24,8 @@
 	Body   []byte
 	// Arrived is when the request header was received.
 	Arrived time.Time
-	// Wait is how long the client waits; 0 if unknown.
-	Wait time.Duration
+	// MaxWait is how long the client waits; 0 if unknown.
+	MaxWait time.Duration
 	// Key is the API key presented by the client.
 	Key string
 	// Parts are the parts of the prompt in order; empty if unknown.
--- a/service/ingress/ingress.go
+++ b/service/ingress/ingress.go
@@ -214,7 +214,7 @@
 	if refusal := readBody(writer, r, request, limit, held); refusal != nil {
 		return refusal
 	}
-	wait := request.Wait
+	wait := request.MaxWait
 	if wait == 0 {
 		wait = defaultWait
 	}
