--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -331,6 +331,6 @@
 		u.reportReaderFailed(ctx, call.Endpoint.ID)
 	}
 	u.logEnd(answer.Status, "answered")
-	u.responder.Whole(answer.Status, httpconn.EndToEnd(answer.Header), body)
+	u.responder.Respond(answer.Status, httpconn.EndToEnd(answer.Header), body)
 	return resultDone
 }
--- a/pkg/gateway/executor.go
+++ b/pkg/gateway/executor.go
@@ -322,7 +322,7 @@
 	if r.RetryAfter > 0 {
 		h.Set("Retry-After", formatSeconds(r.RetryAfter))
 	}
-	u.responder.Whole(r.Status, h, []byte(r.Error()+"\n"))
+	u.responder.Respond(r.Status, h, []byte(r.Error()+"\n"))
 }
 
 func (u *run) logEnd(status int, reason string) {
--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -79,8 +79,8 @@
 
 // Responder sends the response to a client. Exactly one of Whole and Begin is called, once.
 type Responder interface {
-	// Whole sends a complete response.
-	Whole(status int, h http.Header, body []byte)
+	// Respond sends a complete response.
+	Respond(status int, h http.Header, body []byte)
 	// Begin sends the header of a stream.
 	Begin(status int, h http.Header) error
 	// Event sends one or more complete events.
--- a/service/ingress/answer_test.go
+++ b/service/ingress/answer_test.go
@@ -58,7 +58,7 @@
 	})
 
 	It("is told to leave its connection sooner than that is closed", func() {
-		response, err := ask(func(r gateway.Responder) { r.Whole(http.StatusOK, http.Header{}, nil) })
+		response, err := ask(func(r gateway.Responder) { r.Respond(http.StatusOK, http.Header{}, nil) })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Header.Get("Keep-Alive")).To(Equal("timeout=10"))
 	})
--- a/service/ingress/crossing_test.go
+++ b/service/ingress/crossing_test.go
@@ -97,7 +97,7 @@
 		clock := clockwork.NewFakeClock()
 		f := New(Options{
 			Run: func(_ context.Context, _ *gateway.Request, responder gateway.Responder) {
-				responder.Whole(http.StatusOK, http.Header{}, []byte("ran"))
+				responder.Respond(http.StatusOK, http.Header{}, []byte("ran"))
 			},
 			Dialect: plain{},
 			Limits:  func() (route.Limits, bool) { return route.Limits{IdleTimeout: 15 * time.Second}, true },
--- a/service/ingress/holding_test.go
+++ b/service/ingress/holding_test.go
@@ -37,7 +37,7 @@
 				case <-end:
 				case <-ctx.Done():
 				}
-				responder.Whole(http.StatusOK, http.Header{}, []byte("ran"))
+				responder.Respond(http.StatusOK, http.Header{}, []byte("ran"))
 			},
 			Dialect: plain{},
 			Limits:  func() (route.Limits, bool) { return route.Limits{}, true },
--- a/service/ingress/ingress.go
+++ b/service/ingress/ingress.go
@@ -266,5 +266,5 @@
 	if refusal.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(refusal.RetryAfter.Seconds(), 'f', 3, 64))
 	}
-	writer.Whole(refusal.Status, h, []byte(refusal.Error()+"\n"))
+	writer.Respond(refusal.Status, h, []byte(refusal.Error()+"\n"))
 }
--- a/service/ingress/ingress_test.go
+++ b/service/ingress/ingress_test.go
@@ -49,7 +49,7 @@
 		allow(route.Limits{HeaderBytes: 2000, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second})
 		f = New(Options{
 			Run: func(_ context.Context, _ *gateway.Request, responder gateway.Responder) {
-				responder.Whole(http.StatusOK, http.Header{}, []byte("ran"))
+				responder.Respond(http.StatusOK, http.Header{}, []byte("ran"))
 			},
 			Dialect: plain{},
 			Limits: func() (route.Limits, bool) {
--- a/service/ingress/responder.go
+++ b/service/ingress/responder.go
@@ -18,8 +18,8 @@
 
 var _ gateway.Responder = (*responder)(nil)
 
-// Whole implements gateway.Responder.
-func (r *responder) Whole(status int, h http.Header, body []byte) {
+// Respond implements gateway.Responder.
+func (r *responder) Respond(status int, h http.Header, body []byte) {
 	r.answered = true
 	r.head(h)
 	if status != http.StatusNoContent && status != http.StatusNotModified {
