--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -81,8 +81,8 @@
 type Responder interface {
 	// Respond sends a complete response.
 	Respond(status int, h http.Header, body []byte)
-	// Begin sends the header of a stream.
-	Begin(status int, h http.Header) error
+	// StartStream sends the header of a stream.
+	StartStream(status int, h http.Header) error
 	// Event sends one or more complete events.
 	Event(data []byte) error
 	// Break aborts a started response so that the client sees it as incomplete.
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -52,7 +52,7 @@
 		u.firstEventAfter = u.Clock.Since(u.request.Arrived)
 		u.firstEventSeconds.Update(u.firstEventAfter.Seconds())
 		u.freeInputs()
-		if err := u.responder.Begin(answer.Status, httpconn.EndToEnd(answer.Header)); err != nil {
+		if err := u.responder.StartStream(answer.Status, httpconn.EndToEnd(answer.Header)); err != nil {
 			u.abandonStream()
 			return false
 		}
--- a/service/ingress/responder.go
+++ b/service/ingress/responder.go
@@ -30,8 +30,8 @@
 	_, _ = r.writer.Write(body)
 }
 
-// Begin implements gateway.Responder. The head goes out with the first event.
-func (r *responder) Begin(status int, h http.Header) error {
+// StartStream implements gateway.Responder. The head goes out with the first event.
+func (r *responder) StartStream(status int, h http.Header) error {
 	r.answered = true
 	r.head(h)
 	r.writer.WriteHeader(status)
