--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -83,8 +83,8 @@
 	Respond(status int, h http.Header, body []byte)
 	// StartStream sends the header of a stream.
 	StartStream(status int, h http.Header) error
-	// Event sends one or more complete events.
-	Event(data []byte) error
+	// WriteEvents sends one or more complete events.
+	WriteEvents(data []byte) error
 	// Break aborts a started response so that the client sees it as incomplete.
 	Break()
 }
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -63,7 +63,7 @@
 	if lastID != "" {
 		u.lastEvent = lastID
 	}
-	if err := u.responder.Event(data); err != nil {
+	if err := u.responder.WriteEvents(data); err != nil {
 		u.abandonStream()
 		return false
 	}
--- a/service/ingress/answer_test.go
+++ b/service/ingress/answer_test.go
@@ -49,7 +49,7 @@
 	It("is broken off, not ended as if it were whole, if its run panicked within the answer", func() {
 		response, err := ask(func(r gateway.Responder) {
 			Expect(r.StartStream(http.StatusOK, http.Header{})).To(Succeed())
-			Expect(r.Event([]byte("data: 1\n\n"))).To(Succeed())
+			Expect(r.WriteEvents([]byte("data: 1\n\n"))).To(Succeed())
 			panic("a fault of ours")
 		})
 		Expect(err).NotTo(HaveOccurred())
--- a/service/ingress/responder.go
+++ b/service/ingress/responder.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// Event implements gateway.Responder.
-func (r *responder) Event(data []byte) error {
+// WriteEvents implements gateway.Responder.
+func (r *responder) WriteEvents(data []byte) error {
 	if _, err := r.writer.Write(data); err != nil {
 		return err
 	}
