--- a/pkg/gateway/executor.go
+++ b/pkg/gateway/executor.go
@@ -314,7 +314,7 @@
 func (u *run) refuse(r *Refusal) {
 	u.logEnd(r.Status, r.Reason)
 	if u.streamBegun {
-		u.responder.Break()
+		u.responder.Abort()
 		return
 	}
 	h := http.Header{}
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -72,7 +72,7 @@
 
 func (u *run) abandonStream() {
 	u.logEnd(0, "client_left")
-	u.responder.Break()
+	u.responder.Abort()
 }
 
 var eventSeparator = []byte("\n\n")
--- a/service/ingress/ingress.go
+++ b/service/ingress/ingress.go
@@ -165,7 +165,7 @@
 		}
 		f.Log.WithFields(logrus.Fields{"event": "request_unanswered", "id": request.ID, "begun": writer.answered, "fault": fault}).Error()
 		if writer.answered {
-			writer.Break()
+			writer.Abort()
 			return
 		}
 		f.refuse(writer, request, failInternal())
--- a/service/ingress/responder.go
+++ b/service/ingress/responder.go
@@ -57,5 +57,5 @@
 	return r.control.Flush()
 }
 
-// Break implements gateway.Responder.
-func (r *responder) Break() { r.answered, r.broken = true, true }
+// Abort implements gateway.Responder.
+func (r *responder) Abort() { r.answered, r.broken = true, true }
