--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -168,7 +168,7 @@
 			clock.Advance(time.Millisecond)
 			t.RecordCrash(digest(10+n), incarnation(10+n))
 		}
-		Expect(t.Recent(4)).To(ContainElements(HaveField("Life", incarnation(1)), HaveField("Life", incarnation(2))))
+		Expect(t.Recent(4)).To(ContainElements(HaveField("Incarnation", incarnation(1)), HaveField("Incarnation", incarnation(2))))
 	})
 
 	It("stops telling of requests under which one endpoint alone ended", func() {
