--- a/pkg/rollout/conductor.go
+++ b/pkg/rollout/conductor.go
@@ -6,171 +6,177 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-// State is that of a rollout, as operators are told.
+// State is the state of a rollout as shown to operators.
 type State string
 
-// The states.
+// States of a rollout.
 const (
 	Running   State = "running"
 	Completed State = "completed"
 	Reverted  State = "reverted"
 )
 
-// Final tells whether the state is the last one.
+// Final reports whether the state is terminal.
 func (s State) Final() bool { return s == Completed || s == Reverted }
 
-// Report is what an instance tells the conductor of a rollout.
+// Report is what an instance reports to the conductor of a rollout.
 type Report struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
-	// Order is the revision of the order, AgeMs how long the instance knows it, in milliseconds.
+	// Order is the revision of the rollout order; AgeMs is how long the instance has known it, in
+	// milliseconds.
 	Order uint64 `json:"order"`
 	AgeMs int64  `json:"age_ms"`
-	// Instance and Incarnation name the life whose counts these are.
+	// Instance and Incarnation identify the reporting process.
 	Instance    string `json:"instance"`
 	Incarnation uint64 `json:"incarnation"`
-	// State is the last one that the instance was told.
+	// State is the last state the instance was told.
 	State State `json:"state,omitempty"`
-	// Step is the one that it was told last.
+	// Step is the last step the instance was told.
 	Step int `json:"step,omitempty"`
-	// Tally is all that it has seen of the rollout.
+	// Tally is everything the instance has counted for the rollout.
 	Tally Tally `json:"tally,omitempty"`
-	// Clear says that it sends nothing to the old endpoints any more, and that nothing of its is under way there.
+	// Clear is set if the instance no longer uses the old endpoints and has no calls in flight
+	// there.
 	Clear bool `json:"clear,omitempty"`
-	// Movable says the same, but for calls that go on elsewhere when their endpoint stops.
+	// Movable is like Clear, but ignores calls that can resume at another endpoint.
 	Movable bool `json:"movable,omitempty"`
 }
 
-// Instruction is the conductor's answer. The zero value withholds the version.
+// Instruction is the conductor's reply to a report. The zero value withholds the version.
 type Instruction struct {
 	Exposure fleet.Exposure `json:"exposure"`
-	// Share is the part of the requests that a version gets that is tried.
+	// Share is the fraction of requests for a version on trial.
 	Share float64 `json:"share,omitempty"`
-	// State is the one that is decided, and Recorded says that operators have been told. Until then instances go on
-	// reporting: the conductor may end before it has told them.
+	// State is the decided state. Recorded is set once it is stored for operators; until then
+	// instances keep reporting, because the conductor may fail first.
 	State    State `json:"state,omitempty"`
 	Recorded bool  `json:"recorded,omitempty"`
-	// Step is the one that the rollout has reached.
+	// Step is the current step of the rollout.
 	Step int `json:"step,omitempty"`
 }
 
 const (
-	// heardWithin is how long ago an instance must have reported what it says to count.
-	heardWithin = time.Second
-	// missedFor is the silence after which an instance is not waited for any more: it has ended, or is cut off.
-	// One that is cut off and lives sends to the old endpoints, which are gone then, and tries others.
-	missedFor = 8 * time.Second
-	// confirmedFor is how long the record of the rollout may go unread: another instance may have written, on
-	// the other side of a cut, that the version is bad.
-	confirmedFor = 3 * time.Second
-	// aloneFor is how long no endpoint of another version must have been there until there is nothing to move: all
-	// may have crashed, and be back soon.
-	aloneFor = 2 * time.Second
-	// allFor is how long all traffic goes to the new version at least before the old endpoints may stop.
-	allFor = 500 * time.Millisecond
+	// reportFreshFor is the age up to which a report counts.
+	reportFreshFor = time.Second
+	// reportMissingAfter is the silence after which an instance is no longer waited for. A
+	// partitioned instance that still runs retries elsewhere once the old endpoints are gone.
+	reportMissingAfter = 8 * time.Second
+	// recordValidFor is how long the conductor may act without reading the record: on the other
+	// side of a partition another instance may have recorded the version as bad.
+	recordValidFor = 3 * time.Second
+	// oldGoneFor is how long no endpoint of another version must exist before the rollout can skip
+	// the trial; crashed endpoints may restart.
+	oldGoneFor = 2 * time.Second
+	// fullTrafficFor is the least time at full traffic before the old endpoints may stop.
+	fullTrafficFor = 500 * time.Millisecond
 )
 
-// step of a rollout.
+// step is a step of a rollout.
 type step int
 
-// The steps. Those between trying and all are counted from trying on.
+// Steps between stepTrial and stepFull are numbered consecutively.
 const (
-	waiting step = iota
-	trying
+	stepWaiting step = iota
+	stepTrial
 )
 
-// all is the step at which all traffic has moved.
-const all = trying + step(len(stepParts)) + 1
+// stepFull is the step at which all traffic goes to the new version.
+const stepFull = stepTrial + step(len(stepShareFactors)) + 1
 
-// told is an instance's last report, and when it came.
-type told struct {
+// receivedReport is the last report of an instance.
+type receivedReport struct {
 	Report
 	at time.Time
 }
 
-// Seen is what a conductor sees around it.
+// Seen is the conductor's input from its environment.
 type Seen struct {
-	// Instances are the names of those that live.
+	// Instances are the names of the live instances.
 	Instances []string
-	// New and Old are how many endpoints of the order's version and of others may get work.
+	// New and Old count the usable endpoints of the ordered version and of other versions.
 	New, Old int
 }
 
-// Conductor decides the steps of one rollout, by what all instances report. Another takes over when it ends: what it
-// needs, each instance reports anew. It reads no clock and does no I/O; it belongs to one goroutine.
+// Conductor decides the steps of one rollout from the reports of all instances. If it fails,
+// another instance takes over and rebuilds its state from new reports. It uses no clock and does no
+// I/O, and is not safe for concurrent use.
 type Conductor struct {
 	order    fleet.Rollout
 	schedule Schedule
-	// begun is when the order was given, as far as is known.
-	begun   time.Time
-	reports map[string]told
-	// past is what instances reported that have started anew since.
-	past     Tally
-	evidence Evidence
-	step     step
-	// stepAt is when the step began, answersAt when the first answer of the version came.
-	stepAt    time.Time
-	answersAt time.Time
-	// othersAt is when endpoints of other versions were last there.
-	othersAt time.Time
-	// decided is what is to be recorded, and recorded what the record says.
+	// orderedAt is the earliest known time of the order.
+	orderedAt time.Time
+	reports   map[string]receivedReport
+	// pastTally is the sum of the tallies of restarted instances before their restart.
+	pastTally Tally
+	evidence  Evidence
+	step      step
+	// stepSince is the start of the step; firstAnswerAt is the time of the first answer of the new
+	// version.
+	stepSince     time.Time
+	firstAnswerAt time.Time
+	// oldSeenAt is when endpoints of other versions last existed.
+	oldSeenAt time.Time
+	// decided is the state to be recorded; recorded is the state in the record.
 	decided  State
 	recorded State
-	// confirmed is as of when the record was read last; the zero time: it never was.
-	confirmed time.Time
+	// recordReadAt is when the record was last read, or zero.
+	recordReadAt time.Time
 }
 
-// NewConductor returns the conductor of an order that was heard of at a time. A bad version may get a share
-// of all requests.
+// NewConductor returns a Conductor for an order. share limits the fraction of requests for a bad
+// version.
 func NewConductor(order fleet.Rollout, share float64, now time.Time) *Conductor {
-	return &Conductor{order: order, schedule: NewSchedule(order, share), begun: now, reports: map[string]told{}, past: NewTally(), stepAt: now, othersAt: now}
+	return &Conductor{order: order, schedule: NewSchedule(order, share), orderedAt: now, reports: map[string]receivedReport{}, pastTally: NewTally(), stepSince: now, oldSeenAt: now}
 }
 
-// Order is the order that it conducts.
+// Order returns the rollout order.
 func (c *Conductor) Order() fleet.Rollout { return c.order }
 
-// Hear takes in a report.
+// Hear processes a report.
 func (c *Conductor) Hear(now time.Time, r Report) {
 	before, known := c.reports[r.Instance]
 	if known && before.Incarnation > r.Incarnation {
 		return
 	}
 	if known && before.Incarnation < r.Incarnation {
-		c.past.include(before.Tally)
+		c.pastTally.merge(before.Tally)
 	}
-	if begun := now.Add(-time.Duration(r.AgeMs) * time.Millisecond); begun.Before(c.begun) {
-		c.begun = begun
+	if begun := now.Add(-time.Duration(r.AgeMs) * time.Millisecond); begun.Before(c.orderedAt) {
+		c.orderedAt = begun
 	}
 	if r.State.Final() {
 		c.decide(r.State)
 	}
-	if reached := min(all, step(r.Step)); reached > c.step {
-		// Another conductor, which has ended, had seen enough for it.
-		c.step, c.stepAt = reached, now
+	if reached := min(stepFull, step(r.Step)); reached > c.step {
+		// A previous conductor had enough evidence for this step.
+		c.step, c.stepSince = reached, now
 	}
-	c.reports[r.Instance] = told{Report: r, at: now}
+	c.reports[r.Instance] = receivedReport{Report: r, at: now}
 }
 
-// Recorded takes in what the record of the rollout says, as of a time; empty if it says nothing of this order.
+// Recorded processes the content of the record as of the given time; state is empty if the record
+// does not cover this order.
 func (c *Conductor) Recorded(at time.Time, state State) {
-	if at.After(c.confirmed) {
-		c.confirmed = at
+	if at.After(c.recordReadAt) {
+		c.recordReadAt = at
 	}
 	if state != "" {
 		c.recorded = state
 	}
 }
 
-// decide takes in what is to be recorded. What is decided first stays, but for a version found bad before its
-// completion is recorded. That a rollout is completed holds on though the record can't be reached: a writing whose
-// answer was lost may have been done, or be done seconds later, and the old endpoints stop then.
+// decide sets the state to be recorded. The first decision is final, except that a version found
+// bad before its completion is recorded is reverted. A completion is kept even if the record is
+// unreachable, because a write whose reply was lost may still take effect and stop the old
+// endpoints.
 func (c *Conductor) decide(state State) {
 	if c.decided == "" || state == Reverted {
 		c.decided = state
 	}
 }
 
-// Due is what the record has to say that it does not say yet.
+// Due returns the state the record should have, and whether it must be written.
 func (c *Conductor) Due() (State, bool) {
 	switch {
 	case c.recorded.Final():
@@ -181,25 +187,26 @@
 	return Running, c.recorded == ""
 }
 
-// Withdraw takes in that the order was taken back or replaced.
+// Withdraw handles a withdrawn or replaced order.
 func (c *Conductor) Withdraw() { c.decide(Reverted) }
 
-// Tally is what all instances have reported.
+// Tally returns the sum of all reported tallies.
 func (c *Conductor) Tally() Tally {
-	sum := c.past.clone()
+	sum := c.pastTally.clone()
 	for _, r := range c.reports {
-		sum.include(r.Tally)
+		sum.merge(r.Tally)
 	}
 	return sum
 }
 
-// Look decides the next step, and tells whether there is one.
+// Look evaluates the evidence, advances the rollout if possible, and reports whether anything
+// changed.
 func (c *Conductor) Look(now time.Time, seen Seen) bool {
 	if c.recorded.Final() || c.decided == Reverted {
 		return false
 	}
 	if seen.Old > 0 {
-		c.othersAt = now
+		c.oldSeenAt = now
 	}
 	c.evidence.Weigh(c.Tally())
 	if c.evidence.Bad() {
@@ -209,12 +216,12 @@
 	if c.decided == Completed {
 		return false
 	}
-	if c.answersAt.IsZero() && c.evidence.Answers() > 0 {
-		c.answersAt = now
+	if c.firstAnswerAt.IsZero() && c.evidence.Answers() > 0 {
+		c.firstAnswerAt = now
 	}
-	if next, due := c.next(now, seen); due {
-		c.step, c.stepAt = next, now
-		if next > all {
+	if next, due := c.nextStep(now, seen); due {
+		c.step, c.stepSince = next, now
+		if next > stepFull {
 			c.decide(Completed)
 		}
 		return true
@@ -222,58 +229,59 @@
 	return false
 }
 
-// next returns the step that is due, if one is. After all comes the end.
-func (c *Conductor) next(now time.Time, seen Seen) (step, bool) {
+// nextStep returns the next step and whether it is due. The step after stepFull completes the
+// rollout.
+func (c *Conductor) nextStep(now time.Time, seen Seen) (step, bool) {
 	if !c.Confirmed(now) || seen.New == 0 {
 		return c.step, false
 	}
-	age := now.Sub(c.begun)
+	age := now.Sub(c.orderedAt)
 	switch {
-	case c.step == waiting && seen.Old == 0:
-		return all, now.Sub(c.othersAt) >= aloneFor
-	case c.step == waiting:
-		return trying, true
-	case c.step == trying:
-		return trying + 1, age >= c.schedule.triedUntil() && c.trusted(now)
-	case c.step < all:
-		return c.step + 1, now.Sub(c.stepAt) >= c.schedule.stepTakes() && !c.evidence.Suspicious()
+	case c.step == stepWaiting && seen.Old == 0:
+		return stepFull, now.Sub(c.oldSeenAt) >= oldGoneFor
+	case c.step == stepWaiting:
+		return stepTrial, true
+	case c.step == stepTrial:
+		return stepTrial + 1, age >= c.schedule.trialEnd() && c.trialPassed(now)
+	case c.step < stepFull:
+		return c.step + 1, now.Sub(c.stepSince) >= c.schedule.stepDuration() && !c.evidence.Suspicious()
 	}
-	// Shortly before the deadline only what can't go on elsewhere is waited for: one long stream would have the
-	// rollout miss it.
-	movable := age >= c.schedule.endsAt()
-	return c.step + 1, now.Sub(c.stepAt) >= allFor && c.clear(now, seen, movable)
+	// Close to the deadline, calls that can resume elsewhere are not waited for, so that a single
+	// long stream does not delay the rollout.
+	movable := age >= c.schedule.drainedBy()
+	return c.step + 1, now.Sub(c.stepSince) >= fullTrafficFor && c.oldDrained(now, seen, movable)
 }
 
-// trusted tells whether the version was tried long enough, and nothing speaks against it.
-func (c *Conductor) trusted(now time.Time) bool {
-	return !c.answersAt.IsZero() && now.Sub(c.answersAt) >= c.schedule.triedFor() &&
-		c.evidence.Answers() >= leastAnswers && !c.evidence.Suspicious()
+// trialPassed reports whether the trial was long enough without suspicion against the version.
+func (c *Conductor) trialPassed(now time.Time) bool {
+	return !c.firstAnswerAt.IsZero() && now.Sub(c.firstAnswerAt) >= c.schedule.minTrialDuration() &&
+		c.evidence.Answers() >= minAnswers && !c.evidence.Suspicious()
 }
 
-// clear tells whether no instance sends to the old endpoints any more, and nothing is under way there; but for what is
-// movable, if that may be left.
-func (c *Conductor) clear(now time.Time, seen Seen, movable bool) bool {
+// oldDrained reports whether no instance uses the old endpoints any more. If movable is set, calls
+// that can resume elsewhere are ignored.
+func (c *Conductor) oldDrained(now time.Time, seen Seen, movable bool) bool {
 	for _, name := range seen.Instances {
 		r, known := c.reports[name]
 		switch {
 		case !known:
-			if now.Sub(c.begun) < missedFor {
+			if now.Sub(c.orderedAt) < reportMissingAfter {
 				return false
 			}
-		case now.Sub(r.at) >= missedFor:
-		case now.Sub(r.at) > heardWithin || !r.Clear && !(movable && r.Movable):
+		case now.Sub(r.at) >= reportMissingAfter:
+		case now.Sub(r.at) > reportFreshFor || !r.Clear && !(movable && r.Movable):
 			return false
 		}
 	}
 	return true
 }
 
-// Confirmed tells whether the record was read not long ago.
+// Confirmed reports whether the record was read recently.
 func (c *Conductor) Confirmed(now time.Time) bool {
-	return !c.confirmed.IsZero() && now.Sub(c.confirmed) <= confirmedFor
+	return !c.recordReadAt.IsZero() && now.Sub(c.recordReadAt) <= recordValidFor
 }
 
-// Instruction is what instances are to do now.
+// Instruction returns the current instruction for instances.
 func (c *Conductor) Instruction(now time.Time) Instruction {
 	switch {
 	case c.recorded == Completed:
@@ -281,25 +289,25 @@
 	case c.recorded == Reverted || c.decided == Reverted:
 		return Instruction{Exposure: fleet.Refuted, State: Reverted, Recorded: c.recorded == Reverted}
 	case c.decided == Completed:
-		return Instruction{Exposure: fleet.Proven, State: Completed, Step: int(all)}
-	case !c.Confirmed(now) || c.step == waiting:
+		return Instruction{Exposure: fleet.Proven, State: Completed, Step: int(stepFull)}
+	case !c.Confirmed(now) || c.step == stepWaiting:
 		return Instruction{Exposure: fleet.Withheld, State: Running}
-	case c.step >= all:
+	case c.step >= stepFull:
 		return Instruction{Exposure: fleet.Proven, State: Running, Step: int(c.step)}
 	}
-	return Instruction{Exposure: fleet.Tried, Share: c.share(), State: Running, Step: int(c.step)}
+	return Instruction{Exposure: fleet.Tried, Share: c.currentShare(), State: Running, Step: int(c.step)}
 }
 
-// share is the part of the requests that the version gets.
-func (c *Conductor) share() float64 {
-	if c.step == trying {
-		return c.schedule.tried()
+// currentShare returns the fraction of requests for the new version.
+func (c *Conductor) currentShare() float64 {
+	if c.step == stepTrial {
+		return c.schedule.trialShare()
 	}
-	return c.schedule.step(int(c.step-trying) - 1)
+	return c.schedule.stepShare(int(c.step-stepTrial) - 1)
 }
 
-// Against is the weight of what speaks most against the version, and the measure that it is of.
+// Against returns the highest weight of evidence against the version and its measure.
 func (c *Conductor) Against() (float64, string) { return c.evidence.weight() }
 
-// Answers is how many answers of the version were weighed.
+// Answers returns the number of answers of the new version that were evaluated.
 func (c *Conductor) Answers() int { return c.evidence.Answers() }
--- a/pkg/rollout/export_test.go
+++ b/pkg/rollout/export_test.go
@@ -1,10 +1,10 @@
 package rollout
 
-// AtOnce has all calls end before what began them goes on, so that a run repeats.
-func (k *Keeper) AtOnce() { k.begin = func(call func()) { call() } }
+// AtOnce runs all calls synchronously, so that runs are reproducible.
+func (k *Keeper) AtOnce() { k.spawn = func(call func()) { call() } }
 
-// Include adds another tally, as the conductor does with those that are reported.
-func (t Tally) Include(other Tally) { t.include(other) }
+// Include adds a reported tally.
+func (t Tally) Include(other Tally) { t.merge(other) }
 
-// Bounds is how many bounds tell the times of answers apart.
+// Bounds is the number of histogram bounds.
 const Bounds = bounds
--- a/pkg/rollout/keeper.go
+++ b/pkg/rollout/keeper.go
@@ -13,141 +13,144 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-// ErrOvertaken says that a record was written by another since it was read.
-var ErrOvertaken = errors.New("the record of the rollout was written by another instance meanwhile; read it again")
+// ErrOvertaken is returned if another instance has written the record since it was read.
+var ErrOvertaken = errors.New("another instance has written the rollout record since it was read; read it again")
 
-// Record is what operators are told of a service's last rollout.
+// Record is the stored outcome of a service's last rollout, shown to operators.
 type Record struct {
 	State   State
 	Version string
-	// Revision is that of the record; 0: there is none.
+	// Revision is the revision of the record; 0 if there is none.
 	Revision uint64
 }
 
-// of is the state of an order that the record tells; empty if it is another one's.
-func (r Record) of(order fleet.Rollout) State {
+// stateOf returns the recorded state of an order, or an empty state if the record is about another
+// order.
+func (r Record) stateOf(order fleet.Rollout) State {
 	if r.Revision <= order.Revision || r.Version != order.Version {
 		return ""
 	}
 	return r.State
 }
 
-// Records are kept for operators where all instances find them.
+// Records stores rollout records where all instances find them.
 type Records interface {
-	// Read returns a service's record.
+	// Read returns the record of a service.
 	Read(ctx context.Context, service string) (Record, error)
-	// Write writes a service's record if the one before has the revision after, and returns the new revision. It fails
-	// with ErrOvertaken if another one is there.
+	// Write replaces the record of a service if it still has the revision after, and returns the
+	// new revision. Otherwise it fails with ErrOvertaken.
 	Write(ctx context.Context, service string, after uint64, state State, version string) (uint64, error)
 }
 
-// Peer is an instance that may conduct.
+// Peer is an instance that can act as conductor.
 type Peer struct {
 	Name    string
 	Address string
 }
 
-// Peers are the other instances.
+// Peers provides access to the other instances.
 type Peers interface {
-	// Self is this instance, Incarnation which of its lives.
+	// Self returns this instance; Incarnation identifies its process.
 	Self() Peer
 	Incarnation() uint64
-	// Conductors are the instances that live, this one included, in the order in which they conduct the rollouts
-	// of a service.
+	// Conductors returns all live instances, including this one, in the order in which they become
+	// conductor for the service.
 	Conductors(service string) []Peer
-	// Report reports to a conductor.
+	// Report sends a report to a conductor.
 	Report(ctx context.Context, to Peer, r Report) (Instruction, error)
 }
 
-// View is what is known of orders and endpoints.
+// View provides the known orders and endpoints.
 type View interface {
 	Rollouts() fleet.Rollouts
-	// Versions counts the endpoints of the version of an order, and the others.
+	// Versions counts the endpoints of the ordered version and of other versions.
 	Versions(order fleet.Rollout) (of, others int)
-	// Stand has rollouts stand so.
+	// Stand applies the standings of the rollouts.
 	Stand(ctx context.Context, standings fleet.Standings)
 }
 
 const (
-	// look is the time between two looks at all rollouts.
-	look = 100 * time.Millisecond
-	// leastPeriod is the time between two reports of an instance, and eachPeriod how much longer it is for each
-	// instance: one conductor answers 400 a second at most, which take a fifth of the smallest machine.
-	leastPeriod = 400 * time.Millisecond
-	eachPeriod  = 2500 * time.Microsecond
-	// toldSlack is how much longer than two periods an instruction holds: the next one may be lost.
-	toldSlack = 700 * time.Millisecond
-	// reportTimeout bounds a report. Who did not answer is passed over for a while, and conductorsTried bounds
-	// those that one report goes to.
-	reportTimeout   = 500 * time.Millisecond
-	passedOverFor   = 3 * time.Second
-	conductorsTried = 3
-	// readPeriod is the time between two readings of a record, writePause that between two tries to write it, and
-	// recordTimeout bounds a call for it.
-	readPeriod    = time.Second
-	writePause    = 300 * time.Millisecond
-	recordTimeout = time.Second
-	// conductsFor is how long after the last report an instance conducts.
-	conductsFor = 3 * time.Second
+	// pollPeriod is the time between two polls of all rollouts.
+	pollPeriod = 100 * time.Millisecond
+	// minReportPeriod is the least time between two reports of an instance; reportPeriodPerInstance
+	// scales it with the number of instances to limit the load of the conductor.
+	minReportPeriod         = 400 * time.Millisecond
+	reportPeriodPerInstance = 2500 * time.Microsecond
+	// instructionSlack extends the validity of an instruction beyond two report periods, in case
+	// the next one is lost.
+	instructionSlack = 700 * time.Millisecond
+	// reportTimeout limits one report. A conductor that did not reply is skipped for skipPeriod.
+	// maxConductorsTried limits the conductors tried per report.
+	reportTimeout      = 500 * time.Millisecond
+	skipPeriod         = 3 * time.Second
+	maxConductorsTried = 3
+	// recordReadPeriod is the time between reads of a record, recordWriteRetryDelay the time
+	// between write attempts, and recordTimeout limits one access.
+	recordReadPeriod      = time.Second
+	recordWriteRetryDelay = 300 * time.Millisecond
+	recordTimeout         = time.Second
+	// conductPeriod is how long an instance acts as conductor after the last report it received.
+	conductPeriod = 3 * time.Second
 )
 
-// Keeper takes this instance's part in all rollouts: it reports, does what it is told, and conducts those whose
-// conductor it is. Safe for concurrent use.
+// Keeper runs this instance's part in all rollouts: it reports, applies instructions, and acts as
+// conductor where it is responsible. It is safe for concurrent use.
 type Keeper struct {
 	*Participant
 	view    View
 	peers   Peers
 	records Records
-	// share is the part of a service's requests that a bad version may get.
+	// share limits the fraction of a service's requests for a bad version.
 	share float64
 	clock clockwork.Clock
 	log   *logrus.Entry
 
-	mu         sync.Mutex
-	conductors map[uint64]*conducted
-	// reporting has the orders of which a report is under way, reportedAt when the last one began.
+	mu        sync.Mutex
+	conducted map[uint64]*conductedRollout
+	// reporting contains the orders with a report in flight; reportedAt is the start of the last
+	// report.
 	reporting  map[uint64]bool
 	reportedAt map[uint64]time.Time
-	// passedOver is until when instances are passed over as conductors, by name.
-	passedOver map[string]time.Time
-	// begin begins a call; it does not wait for its end.
-	begin func(call func())
-	// stood are the standings that the view was told last; it belongs to the goroutine of Run.
-	stood fleet.Standings
+	// skippedUntil is the time until which a conductor is skipped, by name.
+	skippedUntil map[string]time.Time
+	// spawn runs a call without waiting for it.
+	spawn func(call func())
+	// lastStandings are the standings last passed to the view. Only the goroutine of Run uses it.
+	lastStandings fleet.Standings
 }
 
-// conducted is a rollout that this instance conducts.
-type conducted struct {
+// conductedRollout is a rollout that this instance conducts.
+type conductedRollout struct {
 	*Conductor
-	// reportAt is when the last report came.
+	// reportAt is the time of the last report received.
 	reportAt time.Time
-	// recording says that a call for the record is under way, readAt when the last one began.
+	// recording is set while the record is being accessed; readAt is the start of the last access.
 	recording bool
 	readAt    time.Time
 	record    Record
 }
 
-// NewKeeper returns a keeper. A bad version may get a share of its service's requests.
+// NewKeeper returns a Keeper. share limits the fraction of a service's requests for a bad version.
 func NewKeeper(view View, peers Peers, records Records, share float64, clock clockwork.Clock, log *logrus.Entry) *Keeper {
 	return &Keeper{
-		Participant: NewParticipant(clock),
-		view:        view,
-		peers:       peers,
-		records:     records,
-		share:       share,
-		clock:       clock,
-		log:         log,
-		conductors:  map[uint64]*conducted{},
-		reporting:   map[uint64]bool{},
-		reportedAt:  map[uint64]time.Time{},
-		passedOver:  map[string]time.Time{},
-		begin:       func(call func()) { go call() },
+		Participant:  NewParticipant(clock),
+		view:         view,
+		peers:        peers,
+		records:      records,
+		share:        share,
+		clock:        clock,
+		log:          log,
+		conducted:    map[uint64]*conductedRollout{},
+		reporting:    map[uint64]bool{},
+		reportedAt:   map[uint64]time.Time{},
+		skippedUntil: map[string]time.Time{},
+		spawn:        func(call func()) { go call() },
 	}
 }
 
-// Run takes part until ctx ends.
+// Run polls until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
-	ticker := k.clock.NewTicker(look)
+	ticker := k.clock.NewTicker(pollPeriod)
 	defer ticker.Stop()
 	for {
 		select {
@@ -159,7 +162,7 @@
 	}
 }
 
-// Look does what is due.
+// Look sends due reports, advances the conducted rollouts and updates the view.
 func (k *Keeper) Look(ctx context.Context) {
 	orders := k.view.Rollouts().Orders
 	k.Know(orders)
@@ -167,24 +170,24 @@
 		k.reportIfDue(ctx, order)
 	}
 	k.conduct(ctx, orders)
-	if standings := k.Standings(); !maps.Equal(standings, k.stood) {
+	if standings := k.Standings(); !maps.Equal(standings, k.lastStandings) {
 		k.view.Stand(ctx, standings)
-		k.stood = standings
+		k.lastStandings = standings
 	}
 }
 
-// period is the time between two reports.
-func period(instances int) time.Duration {
-	return max(leastPeriod, time.Duration(instances)*eachPeriod)
+// reportPeriod returns the time between two reports of an instance.
+func reportPeriod(instances int) time.Duration {
+	return max(minReportPeriod, time.Duration(instances)*reportPeriodPerInstance)
 }
 
-// reportIfDue begins a report.
+// reportIfDue starts a report if it is due.
 func (k *Keeper) reportIfDue(ctx context.Context, order fleet.Rollout) {
 	if k.Ended(order.Revision) {
 		return
 	}
 	candidates := k.peers.Conductors(order.Service)
-	every := period(len(candidates))
+	every := reportPeriod(len(candidates))
 	now := k.clock.Now()
 	k.mu.Lock()
 	due := !k.reporting[order.Revision] && now.Sub(k.reportedAt[order.Revision]) >= every
@@ -195,16 +198,17 @@
 	if !due {
 		return
 	}
-	k.begin(func() {
-		k.report(ctx, order, candidates, 2*every+toldSlack)
+	k.spawn(func() {
+		k.sendReport(ctx, order, candidates, 2*every+instructionSlack)
 		k.mu.Lock()
 		delete(k.reporting, order.Revision)
 		k.mu.Unlock()
 	})
 }
 
-// report reports to the first candidate that answers. What that says holds for a time from when it was asked.
-func (k *Keeper) report(ctx context.Context, order fleet.Rollout, candidates []Peer, holds time.Duration) {
+// sendReport reports to the first conductor that replies. The instruction is valid for the given
+// time from the start of the call.
+func (k *Keeper) sendReport(ctx context.Context, order fleet.Rollout, candidates []Peer, holds time.Duration) {
 	r, ok := k.Report(order.Revision)
 	if !ok {
 		return
@@ -212,32 +216,32 @@
 	r.Instance, r.Incarnation = k.peers.Self().Name, k.peers.Incarnation()
 	tried := 0
 	for _, candidate := range candidates {
-		if k.isPassedOver(candidate.Name) {
+		if k.isSkipped(candidate.Name) {
 			continue
 		}
 		asked := k.clock.Now()
-		instruction, err := k.ask(ctx, candidate, r)
+		instruction, err := k.queryConductor(ctx, candidate, r)
 		if err == nil {
 			k.Told(order.Revision, instruction, asked.Add(holds))
 			return
 		}
 		k.log.WithFields(logrus.Fields{"event": "conductor_silent", "service": order.Service, "order": order.Revision, "conductor": candidate.Name}).Info(err)
 		k.mu.Lock()
-		k.passedOver[candidate.Name] = k.clock.Now().Add(passedOverFor)
+		k.skippedUntil[candidate.Name] = k.clock.Now().Add(skipPeriod)
 		k.mu.Unlock()
-		if tried++; tried == conductorsTried {
+		if tried++; tried == maxConductorsTried {
 			return
 		}
 	}
 }
 
-func (k *Keeper) isPassedOver(name string) bool {
+func (k *Keeper) isSkipped(name string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.clock.Now().Before(k.passedOver[name])
+	return k.clock.Now().Before(k.skippedUntil[name])
 }
 
-func (k *Keeper) ask(ctx context.Context, candidate Peer, r Report) (Instruction, error) {
+func (k *Keeper) queryConductor(ctx context.Context, candidate Peer, r Report) (Instruction, error) {
 	if candidate.Name == k.peers.Self().Name {
 		return k.Answer(r), nil
 	}
@@ -246,8 +250,7 @@
 	return k.peers.Report(ctx, candidate, r)
 }
 
-// Answer answers a report, as the conductor of its rollout. An instance that does not know of the order has the
-// version withheld.
+// Answer processes a report as conductor. If the order is unknown here, the version is withheld.
 func (k *Keeper) Answer(r Report) Instruction {
 	order, ordered := k.view.Rollouts().Of(r.Service)
 	if !ordered || order.Revision != r.Order {
@@ -256,10 +259,10 @@
 	now := k.clock.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	c := k.conductors[r.Order]
+	c := k.conducted[r.Order]
 	if c == nil {
-		c = &conducted{Conductor: NewConductor(order, k.share, now)}
-		k.conductors[r.Order] = c
+		c = &conductedRollout{Conductor: NewConductor(order, k.share, now)}
+		k.conducted[r.Order] = c
 		k.log.WithFields(logrus.Fields{"event": "rollout_conducted", "service": order.Service, "version": order.Version, "order": order.Revision}).Info()
 	}
 	c.reportAt = now
@@ -267,45 +270,44 @@
 	return c.Instruction(now)
 }
 
-// conduct decides for all rollouts that this instance conducts, and begins the calls for their records.
+// conduct advances all conducted rollouts and starts the accesses to their records.
 func (k *Keeper) conduct(ctx context.Context, orders []fleet.Rollout) {
 	for _, c := range k.decideAll(orders) {
-		k.begin(func() { k.keepRecord(ctx, c) })
+		k.spawn(func() { k.syncRecord(ctx, c) })
 	}
 }
 
-// decideAll decides for all rollouts that this instance conducts, and returns those whose record is to be read or
-// written.
-func (k *Keeper) decideAll(orders []fleet.Rollout) []*conducted {
+// decideAll advances all conducted rollouts and returns those whose record is due for an access.
+func (k *Keeper) decideAll(orders []fleet.Rollout) []*conductedRollout {
 	now := k.clock.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var due []*conducted
-	for revision, c := range k.conductors {
+	var due []*conductedRollout
+	for revision, c := range k.conducted {
 		inForce, ordered := fleet.Rollouts{Orders: orders}.Of(c.Order().Service)
 		switch {
 		case !ordered:
 			c.Withdraw()
 		case inForce.Revision != revision:
-			// The record is the next order's now.
-			delete(k.conductors, revision)
+			// The record now belongs to the newer order.
+			delete(k.conducted, revision)
 			continue
 		}
-		if now.Sub(c.reportAt) < conductsFor || !ordered {
+		if now.Sub(c.reportAt) < conductPeriod || !ordered {
 			k.decide(now, c)
 			if c.recordDue(now) {
 				due = append(due, c)
 			}
 		}
-		if !ordered && c.record.of(c.Order()).Final() {
-			delete(k.conductors, revision)
+		if !ordered && c.record.stateOf(c.Order()).Final() {
+			delete(k.conducted, revision)
 		}
 	}
 	return due
 }
 
-// decide takes the next step of a rollout, and logs it with what decided it.
-func (k *Keeper) decide(now time.Time, c *conducted) {
+// decide advances a rollout and logs the decision.
+func (k *Keeper) decide(now time.Time, c *conductedRollout) {
 	seen := Seen{}
 	for _, p := range k.peers.Conductors(c.Order().Service) {
 		seen.Instances = append(seen.Instances, p.Name)
@@ -319,16 +321,17 @@
 	k.log.WithFields(logrus.Fields{
 		"event": "rollout_step", "service": c.Order().Service, "version": c.Order().Version, "order": c.Order().Revision,
 		"exposure": i.Exposure.String(), "share": i.Share, "decided": string(c.decided), "answers": c.Answers(),
-		"against": weight, "measure": of, "new": seen.New, "old": seen.Old, "age_ms": now.Sub(c.begun).Milliseconds(),
+		"against": weight, "measure": of, "new": seen.New, "old": seen.Old, "age_ms": now.Sub(c.orderedAt).Milliseconds(),
 	}).Info()
 }
 
-// recordDue tells whether the record of the rollout is to be read, or written, now; it counts a call in then.
-func (c *conducted) recordDue(now time.Time) bool {
+// recordDue reports whether the record must be read or written now, and if so marks the access as
+// started.
+func (c *conductedRollout) recordDue(now time.Time) bool {
 	state, due := c.Due()
-	pause := readPeriod
+	pause := recordReadPeriod
 	if due {
-		pause = writePause
+		pause = recordWriteRetryDelay
 	}
 	if c.recording || state.Final() && !due || now.Sub(c.readAt) < pause {
 		return false
@@ -337,11 +340,11 @@
 	return true
 }
 
-// keepRecord reads the record of a rollout, and writes it if it does not say what is decided.
-func (k *Keeper) keepRecord(ctx context.Context, c *conducted) {
+// syncRecord reads the record of a rollout and updates it if it differs from the decision.
+func (k *Keeper) syncRecord(ctx context.Context, c *conductedRollout) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	err := k.readAndWrite(ctx, c)
+	err := k.readAndUpdateRecord(ctx, c)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c.recording = false
@@ -350,13 +353,13 @@
 	}
 }
 
-func (k *Keeper) readAndWrite(ctx context.Context, c *conducted) error {
+func (k *Keeper) readAndUpdateRecord(ctx context.Context, c *conductedRollout) error {
 	order, begin := c.Order(), k.clock.Now()
 	record, err := k.records.Read(ctx, order.Service)
 	if err != nil {
 		return err
 	}
-	k.recorded(c, begin, record)
+	k.setRecord(c, begin, record)
 	k.mu.Lock()
 	state, due := c.Due()
 	k.mu.Unlock()
@@ -367,14 +370,14 @@
 	if err != nil {
 		return err
 	}
-	k.recorded(c, begin, Record{State: state, Version: order.Version, Revision: revision})
+	k.setRecord(c, begin, Record{State: state, Version: order.Version, Revision: revision})
 	k.log.WithFields(logrus.Fields{"event": "rollout_recorded", "service": order.Service, "version": order.Version, "order": order.Revision, "state": string(state)}).Info()
 	return nil
 }
 
-func (k *Keeper) recorded(c *conducted, at time.Time, record Record) {
+func (k *Keeper) setRecord(c *conductedRollout, at time.Time, record Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c.record = record
-	c.Recorded(at, record.of(c.Order()))
+	c.Recorded(at, record.stateOf(c.Order()))
 }
--- a/pkg/rollout/model_test.go
+++ b/pkg/rollout/model_test.go
@@ -17,59 +17,60 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/rollout"
 )
 
-// The model plays instances that move a service's traffic: their keepers are real, and the clock, the network, the
-// store and the endpoints are the model's, so that a seed repeats. What the endpoints get is checked.
+// The model simulates instances with real managers and a simulated clock, network, store and
+// endpoints, so that runs are reproducible by seed. It checks how many requests each version gets.
 
 const (
 	share        = 0.1
 	slack        = 50
 	rollback     = 5 * time.Second
-	toleratedBad = 50
+	badTolerance = 50
 	tick         = 20 * time.Millisecond
 	over         = 12 * time.Second
 	orderAt      = uint64(5)
 )
 
-var errCut = errors.New("no answer")
+var errUnreachable = errors.New("unreachable")
 
-// model is a group of instances before endpoints of two versions.
+// model is a group of instances with endpoints of two versions.
 type model struct {
 	clock     *clockwork.FakeClock
 	random    *rand.Rand
 	begun     time.Time
 	instances []*node
-	// cut has the group of each instance that is cut off with others from the rest.
-	cut map[string]int
-	// silent says that the store answers nobody, silentTo whom it does not answer.
-	silent   bool
-	silentTo map[string]bool
-	// losing has writings be done some time later, and their answers lost; late are those.
-	losing   bool
-	late     []lateWrite
-	record   rollout.Record
-	revision uint64
-	ordered  fleet.Rollouts
-	// bad is how the new version behaves.
+	// partition assigns each instance to one side of a network partition.
+	partition map[string]int
+	// storeDown makes the store unavailable to all instances, storeDownFor to some.
+	storeDown    bool
+	storeDownFor map[string]bool
+	// delayWrites applies writes later and loses their replies; pendingWrites are these writes.
+	delayWrites   bool
+	pendingWrites []lateWrite
+	record        rollout.Record
+	revision      uint64
+	ordered       fleet.Rollouts
+	// bad is the behaviour of the new version.
 	bad behaviour
 
-	all, arrived, wrong int
-	// wrongAt is when the fiftieth bad answer came, lastAt when the last request reached the new version.
-	wrongAt, lastAt, completedAt time.Time
-	// oldAfter counts the requests that came to the old version after it was completed, from instances that were not
-	// cut off.
-	oldAfter int
-	// cutOff counts the requests under way at the old version when it was completed, of those that can't go on elsewhere.
-	cutOff int
+	all, arrived, badAnswers int
+	// toleranceExceededAt is when the number of bad answers reached badTolerance; lastAt is the
+	// last request to the new version.
+	toleranceExceededAt, lastAt, completedAt time.Time
+	// lateOldRequests counts requests to the old version after completion, except from partitioned
+	// instances.
+	lateOldRequests int
+	// interrupted counts calls in flight at the old version at completion that cannot resume
+	// elsewhere.
+	interrupted int
 }
 
-// lateWrite is a writing that is done later, if its condition still holds.
+// lateWrite is a delayed conditional write.
 type lateWrite struct {
 	at     time.Time
 	after  uint64
 	record rollout.Record
 }
 
-// write does a writing.
 func (m *model) write(after uint64, record rollout.Record) error {
 	if m.record.Revision != after {
 		return rollout.ErrOvertaken
@@ -79,7 +80,7 @@
 	m.record = record
 	if record.State == rollout.Completed {
 		m.completedAt = m.clock.Now()
-		m.countCutOff()
+		m.countInterrupted()
 	}
 	return nil
 }
@@ -91,21 +92,21 @@
 	incarnation uint64
 	keeper      *rollout.Keeper
 	snapshot    *fleet.Snapshot
-	underWay    []underWay
-	// frozen instances do nothing.
+	underWay    []inFlightCall
+	// frozen instances make no progress.
 	frozen bool
 }
 
-type underWay struct {
+type inFlightCall struct {
 	call   *rollout.Call
 	sample rollout.Sample
 	end    time.Time
-	// fixed says that it is at the old version and can't go on elsewhere.
+	// fixed is set for a call to the old version that cannot resume elsewhere.
 	fixed bool
 }
 
 func newModel(seed uint64, n int) *model {
-	m := &model{clock: clockwork.NewFakeClock(), random: rand.New(rand.NewPCG(seed, 2)), cut: map[string]int{}, silentTo: map[string]bool{}, revision: orderAt}
+	m := &model{clock: clockwork.NewFakeClock(), random: rand.New(rand.NewPCG(seed, 2)), partition: map[string]int{}, storeDownFor: map[string]bool{}, revision: orderAt}
 	m.begun = m.clock.Now()
 	for i := range n {
 		m.instances = append(m.instances, m.start(fmt.Sprint("instance-", i), 1))
@@ -144,9 +145,9 @@
 	}
 }
 
-func (m *model) reaches(a, b string) bool { return m.cut[a] == m.cut[b] }
+func (m *model) reaches(a, b string) bool { return m.partition[a] == m.partition[b] }
 
-// The node is what its keeper knows of the others, the store and the endpoints.
+// node implements the interfaces that its manager uses.
 
 func (i *node) Self() rollout.Peer  { return rollout.Peer{Name: i.name} }
 func (i *node) Incarnation() uint64 { return i.incarnation }
@@ -165,24 +166,24 @@
 			return other.keeper.Answer(r), nil
 		}
 	}
-	return rollout.Instruction{}, errCut
+	return rollout.Instruction{}, errUnreachable
 }
 
 func (i *node) Read(context.Context, string) (rollout.Record, error) {
-	if i.silent || i.silentTo[i.name] {
-		return rollout.Record{}, errCut
+	if i.storeDown || i.storeDownFor[i.name] {
+		return rollout.Record{}, errUnreachable
 	}
 	return i.record, nil
 }
 
 func (i *node) Write(_ context.Context, _ string, after uint64, state rollout.State, version string) (uint64, error) {
 	switch {
-	case i.silent || i.silentTo[i.name]:
-		return 0, errCut
-	case i.losing:
+	case i.storeDown || i.storeDownFor[i.name]:
+		return 0, errUnreachable
+	case i.delayWrites:
 		at := i.clock.Now().Add(time.Second + time.Duration(i.random.Int64N(int64(5*time.Second))))
-		i.model.late = append(i.late, lateWrite{at, after, rollout.Record{State: state, Version: version}})
-		return 0, errCut
+		i.model.pendingWrites = append(i.pendingWrites, lateWrite{at, after, rollout.Record{State: state, Version: version}})
+		return 0, errUnreachable
 	}
 	err := i.write(after, rollout.Record{State: state, Version: version})
 	return i.model.revision, err
@@ -196,7 +197,7 @@
 	i.snapshot = i.snapshot.Stand(standings)
 }
 
-// serve has the instance serve a request.
+// serve serves one request.
 func (i *node) serve(id string) {
 	now := i.clock.Now()
 	e := fleet.Endpoint{Version: "none"}
@@ -216,38 +217,38 @@
 		i.arrived++
 		i.lastAt = now
 	default:
-		if !i.completedAt.IsZero() && i.cut[i.name] == 0 {
-			i.oldAfter++
+		if !i.completedAt.IsZero() && i.partition[i.name] == 0 {
+			i.lateOldRequests++
 		}
 	}
 	sample := sampleOf(i.random, route, b, i.arrived)
-	if e.Version == "v2" && (sample.Failed || sample.Took > 3*time.Duration(routes[route].median)*time.Millisecond) && b != (behaviour{only: -1}) {
-		if i.wrong++; i.wrong == toleratedBad {
-			i.wrongAt = now
+	if e.Version == "v2" && (sample.Failed || sample.Took > 3*time.Duration(routes[route].median)*time.Millisecond) && b != (behaviour{route: -1}) {
+		if i.badAnswers++; i.badAnswers == badTolerance {
+			i.toleranceExceededAt = now
 		}
 	}
 	if i.random.IntN(100) == 0 {
-		// Whichever version runs it, it is a long one.
+		// One request in a hundred is long on any version.
 		sample.Took += 1500 * time.Millisecond
 	}
-	i.underWay = append(i.underWay, underWay{call: i.keeper.Begin(e, route == 2), sample: sample, end: now.Add(sample.Took), fixed: e.Version == "v1" && route != 2})
+	i.underWay = append(i.underWay, inFlightCall{call: i.keeper.Begin(e, route == 2), sample: sample, end: now.Add(sample.Took), fixed: e.Version == "v1" && route != 2})
 }
 
-// countCutOff counts what stops with the old endpoints.
-func (m *model) countCutOff() {
+// countInterrupted counts the calls interrupted when the old endpoints stop.
+func (m *model) countInterrupted() {
 	for _, i := range m.instances {
 		for _, u := range i.underWay {
 			if u.fixed && u.end.After(m.clock.Now()) {
-				m.cutOff++
+				m.interrupted++
 			}
 		}
 	}
 }
 
-// step plays one tick in which each instance gets requests.
+// step simulates one tick.
 func (m *model) step(perSecond float64) {
 	m.clock.Advance(tick)
-	m.late = slices.DeleteFunc(m.late, func(w lateWrite) bool {
+	m.pendingWrites = slices.DeleteFunc(m.pendingWrites, func(w lateWrite) bool {
 		if w.at.After(m.clock.Now()) {
 			return false
 		}
@@ -261,7 +262,7 @@
 		if m.random.Float64() < perSecond*tick.Seconds() {
 			i.serve(fmt.Sprint("request-", m.random.Uint64()))
 		}
-		i.underWay = slices.DeleteFunc(i.underWay, func(u underWay) bool {
+		i.underWay = slices.DeleteFunc(i.underWay, func(u inFlightCall) bool {
 			if u.end.After(m.clock.Now()) {
 				return false
 			}
@@ -274,30 +275,30 @@
 	}
 }
 
-func (m *model) play(length time.Duration, perSecond float64) {
+func (m *model) run(length time.Duration, perSecond float64) {
 	for begin := m.clock.Now(); m.clock.Since(begin) < length; {
 		m.step(perSecond)
 	}
 }
 
-// check holds what the new version got against its bounds, if it is bad.
+// check verifies the limits on requests to a bad version.
 func (m *model) check() {
 	GinkgoHelper()
 	Expect(float64(m.arrived)).To(BeNumerically("<=", share*float64(m.all)+slack), "of %d requests", m.all)
-	if !m.wrongAt.IsZero() {
-		Expect(m.lastAt.Sub(m.wrongAt)).To(BeNumerically("<=", rollback))
+	if !m.toleranceExceededAt.IsZero() {
+		Expect(m.lastAt.Sub(m.toleranceExceededAt)).To(BeNumerically("<=", rollback))
 	}
 }
 
 var badVersions = []behaviour{
-	{fails: 0.4, only: -1},
-	{fails: 1, only: -1},
-	{fails: 0.4, only: -1, after: 60},
-	{fails: 0.7, only: 0},
-	{slows: 1, times: 5, only: -1},
-	{slows: 1, times: 30, only: -1},
-	{slows: 0.5, times: 8, only: -1, after: 40},
-	{slows: 1, times: 6, only: 1},
+	{failureRate: 0.4, route: -1},
+	{failureRate: 1, route: -1},
+	{failureRate: 0.4, route: -1, after: 60},
+	{failureRate: 0.7, route: 0},
+	{slowRate: 1, slowFactor: 5, route: -1},
+	{slowRate: 1, slowFactor: 30, route: -1},
+	{slowRate: 0.5, slowFactor: 8, route: -1, after: 40},
+	{slowRate: 1, slowFactor: 6, route: 1},
 }
 
 var _ = Describe("instances that move traffic", func() {
@@ -308,15 +309,15 @@
 			late := 0
 			for seed := range uint64(10) {
 				m := newModel(seed, n)
-				m.bad = behaviour{only: -1}
-				m.play(time.Second, each)
+				m.bad = behaviour{route: -1}
+				m.run(time.Second, each)
 				m.order()
-				m.play(over+time.Second, each)
+				m.run(over+time.Second, each)
 				if m.record.State != rollout.Completed || m.completedAt.Sub(m.begun) > over {
 					late++
 				}
-				Expect(m.oldAfter).To(BeZero())
-				Expect(m.cutOff).To(BeZero())
+				Expect(m.lateOldRequests).To(BeZero())
+				Expect(m.interrupted).To(BeZero())
 			}
 			Expect(late).To(BeZero(), "of 10")
 		},
@@ -329,9 +330,9 @@
 			for seed := range uint64(4) {
 				m := newModel(seed+uint64(100*i), instances)
 				m.bad = bad
-				m.play(time.Second, perSecond)
+				m.run(time.Second, perSecond)
 				m.order()
-				m.play(over, perSecond)
+				m.run(over, perSecond)
 				m.check()
 				Expect(m.record.State).To(Equal(rollout.Reverted), "bad version %d, seed %d", i, seed)
 			}
@@ -342,19 +343,19 @@
 		for seed := range uint64(40) {
 			m := newModel(seed, 12)
 			m.bad = badVersions[m.random.IntN(len(badVersions))]
-			m.play(time.Second, 20)
+			m.run(time.Second, 20)
 			m.order()
 			for begin := m.clock.Now(); m.clock.Since(begin) < over; {
-				m.disturb()
-				m.play(time.Duration(200+m.random.IntN(1500))*time.Millisecond, 20)
+				m.injectFault()
+				m.run(time.Duration(200+m.random.IntN(1500))*time.Millisecond, 20)
 			}
 			Expect(float64(m.arrived)).To(BeNumerically("<=", share*float64(m.all)+slack), "seed %d: of %d requests", seed, m.all)
-			m.heal()
-			m.play(over, 20)
+			m.clearFaults()
+			m.run(over, 20)
 			Expect(m.record.State).To(Equal(rollout.Reverted), "seed %d", seed)
-			m.play(rollback, 20)
+			m.run(rollback, 20)
 			before := m.arrived
-			m.play(3*time.Second, 20)
+			m.run(3*time.Second, 20)
 			Expect(m.arrived).To(Equal(before), "seed %d", seed)
 		}
 	})
@@ -362,15 +363,15 @@
 	It("complete a good version after cuts, outages, kills and freezes have ended", func() {
 		for seed := range uint64(20) {
 			m := newModel(seed, 12)
-			m.bad = behaviour{only: -1}
-			m.play(time.Second, 20)
+			m.bad = behaviour{route: -1}
+			m.run(time.Second, 20)
 			m.order()
 			for range 6 {
-				m.disturb()
-				m.play(time.Duration(200+m.random.IntN(1500))*time.Millisecond, 20)
+				m.injectFault()
+				m.run(time.Duration(200+m.random.IntN(1500))*time.Millisecond, 20)
 			}
-			m.heal()
-			m.play(over+10*time.Second, 20)
+			m.clearFaults()
+			m.run(over+10*time.Second, 20)
 			Expect(m.record.State).To(Equal(rollout.Completed), "seed %d", seed)
 		}
 	})
@@ -379,45 +380,45 @@
 		func(fail func(*model)) {
 			for seed := range uint64(8) {
 				m := newModel(seed, 6)
-				m.bad = behaviour{only: -1}
-				m.play(time.Second, 20)
+				m.bad = behaviour{route: -1}
+				m.run(time.Second, 20)
 				m.order()
 				proven := func() bool { return m.instances[3].snapshot.Standing(orderAt).Exposure == fleet.Proven }
 				for begin := m.clock.Now(); !proven() && m.clock.Since(begin) < over; {
 					m.step(20)
 				}
 				Expect(proven()).To(BeTrue())
-				m.play(time.Duration(seed)*150*time.Millisecond, 20)
+				m.run(time.Duration(seed)*150*time.Millisecond, 20)
 				fail(m)
-				m.play(time.Duration(1+seed)*1500*time.Millisecond, 20)
-				m.silent, m.losing = false, false
-				m.play(over+10*time.Second, 20)
+				m.run(time.Duration(1+seed)*1500*time.Millisecond, 20)
+				m.storeDown, m.delayWrites = false, false
+				m.run(over+10*time.Second, 20)
 				Expect(m.record.State).To(Equal(rollout.Completed), "seed %d", seed)
-				Expect(m.cutOff).To(BeZero(), "seed %d", seed)
-				Expect(m.oldAfter).To(BeZero(), "seed %d", seed)
+				Expect(m.interrupted).To(BeZero(), "seed %d", seed)
+				Expect(m.lateOldRequests).To(BeZero(), "seed %d", seed)
 			}
 		},
-		Entry("is silent", func(m *model) { m.silent = true }),
-		Entry("loses answers, and does what was asked later", func(m *model) { m.losing = true }),
-		Entry("does both", func(m *model) { m.losing = true; m.play(time.Second, 20); m.silent = true }),
+		Entry("is silent", func(m *model) { m.storeDown = true }),
+		Entry("loses answers, and does what was asked later", func(m *model) { m.delayWrites = true }),
+		Entry("does both", func(m *model) { m.delayWrites = true; m.run(time.Second, 20); m.storeDown = true }),
 	)
 
 	It("give a version on trial nothing while the record can't be read, which another may have written", func() {
 		m := newModel(3, 6)
-		m.bad = behaviour{only: -1}
+		m.bad = behaviour{route: -1}
 		m.order()
-		m.play(2*time.Second, 20)
+		m.run(2*time.Second, 20)
 		Expect(m.arrived).NotTo(BeZero())
-		m.silent = true
-		m.play(3500*time.Millisecond, 20)
+		m.storeDown = true
+		m.run(3500*time.Millisecond, 20)
 		before := m.arrived
-		m.play(3*time.Second, 20)
+		m.run(3*time.Second, 20)
 		Expect(m.arrived).To(Equal(before))
 	})
 
 	It("complete an order for the version that has all of the traffic, and serve on meanwhile", func() {
 		m := newModel(1, 4)
-		m.bad = behaviour{only: -1}
+		m.bad = behaviour{route: -1}
 		for _, i := range m.instances {
 			i.snapshot = fleet.New(1, endpoints("v2", 6)).Roll(fleet.Rollouts{Revision: 4})
 		}
@@ -425,7 +426,7 @@
 		for _, i := range m.instances {
 			i.snapshot = i.snapshot.Roll(m.ordered)
 		}
-		m.play(5*time.Second, 20)
+		m.run(5*time.Second, 20)
 		Expect(m.record.State).To(Equal(rollout.Completed))
 		Expect(m.arrived).To(Equal(m.all))
 	})
@@ -434,34 +435,34 @@
 		m := newModel(1, 6)
 		m.bad = badVersions[0]
 		m.order()
-		m.play(over, 20)
+		m.run(over, 20)
 		Expect(m.record.State).To(Equal(rollout.Reverted))
 		arrived := m.arrived
 		for n := range m.instances {
 			m.instances[n] = m.start(m.instances[n].name, 2)
 		}
-		m.silent = true
-		m.play(3*time.Second, 20)
-		m.silent = false
-		m.play(3*time.Second, 20)
+		m.storeDown = true
+		m.run(3*time.Second, 20)
+		m.storeDown = false
+		m.run(3*time.Second, 20)
 		Expect(m.arrived).To(Equal(arrived))
 	})
 })
 
-// disturb has something fail, or end to.
-func (m *model) disturb() {
+// injectFault starts or ends a random fault.
+func (m *model) injectFault() {
 	i := m.instances[m.random.IntN(len(m.instances))]
 	switch m.random.IntN(7) {
 	case 0:
 		for _, other := range m.instances {
-			m.cut[other.name] = m.random.IntN(2)
+			m.partition[other.name] = m.random.IntN(2)
 		}
 	case 1:
-		clear(m.cut)
+		clear(m.partition)
 	case 2:
-		m.silent = !m.silent
+		m.storeDown = !m.storeDown
 	case 3:
-		m.silentTo[i.name] = !m.silentTo[i.name]
+		m.storeDownFor[i.name] = !m.storeDownFor[i.name]
 	case 4:
 		n := slices.Index(m.instances, i)
 		m.instances[n] = m.start(i.name, i.incarnation+1)
@@ -470,11 +471,11 @@
 	}
 }
 
-// heal has everything well again.
-func (m *model) heal() {
-	clear(m.cut)
-	clear(m.silentTo)
-	m.silent = false
+// clearFaults ends all faults.
+func (m *model) clearFaults() {
+	clear(m.partition)
+	clear(m.storeDownFor)
+	m.storeDown = false
 	for _, i := range m.instances {
 		i.frozen = false
 	}
--- a/pkg/rollout/participant.go
+++ b/pkg/rollout/participant.go
@@ -9,38 +9,39 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-// Participant is what one instance sees and is told of rollouts. Safe for concurrent use.
+// Participant tracks one instance's calls and instructions for all rollouts. It is safe for
+// concurrent use.
 type Participant struct {
 	clock clockwork.Clock
 
 	mu sync.Mutex
-	// underWay counts the calls by service and version.
-	underWay map[string]map[string]running
-	// part is what is known of each order in force, by its revision.
-	part map[uint64]*part
+	// inFlight counts calls in flight by service and version.
+	inFlight map[string]map[string]callCounts
+	// participations contains the state of each order in force, by revision.
+	participations map[uint64]*participation
 }
 
-// part is an instance's part in one rollout.
-type part struct {
+// participation is the instance's state for one order.
+type participation struct {
 	order fleet.Rollout
-	// since is when the order was heard of.
-	since time.Time
-	tally Tally
-	told  Instruction
-	// until is until when what was told holds.
-	until time.Time
+	// knownSince is when the instance learned of the order.
+	knownSince  time.Time
+	tally       Tally
+	instruction Instruction
+	// validUntil is when the instruction expires.
+	validUntil time.Time
 }
 
-// running counts the calls under way at a version's endpoints: all, and those that go on elsewhere if the
-// endpoint stops.
-type running struct{ all, movable int }
+// callCounts counts the calls in flight: all, and those that can resume elsewhere if their endpoint
+// stops.
+type callCounts struct{ all, movable int }
 
-// NewParticipant returns one that knows of no rollout.
+// NewParticipant returns a Participant without orders.
 func NewParticipant(clock clockwork.Clock) *Participant {
-	return &Participant{clock: clock, underWay: map[string]map[string]running{}, part: map[uint64]*part{}}
+	return &Participant{clock: clock, inFlight: map[string]map[string]callCounts{}, participations: map[uint64]*participation{}}
 }
 
-// Call is a call that is under way at an endpoint.
+// Call is a call in flight.
 type Call struct {
 	participant *Participant
 	service     string
@@ -48,7 +49,7 @@
 	movable     bool
 }
 
-// Begin counts a call in that goes to an endpoint. A movable one may go on elsewhere if the endpoint stops.
+// Begin registers a call to an endpoint. A movable call can resume elsewhere if the endpoint stops.
 func (p *Participant) Begin(e fleet.Endpoint, movable bool) *Call {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,12 +58,12 @@
 	return c
 }
 
-// count counts a call in or out.
+// count changes the number of calls in flight.
 func (p *Participant) count(c *Call, by int) {
-	versions := p.underWay[c.service]
+	versions := p.inFlight[c.service]
 	if versions == nil {
-		versions = map[string]running{}
-		p.underWay[c.service] = versions
+		versions = map[string]callCounts{}
+		p.inFlight[c.service] = versions
 	}
 	now := versions[c.version]
 	now.all += by
@@ -75,7 +76,7 @@
 	}
 }
 
-// End counts the call out. The sample says what became of it; nil: nothing that tells of the endpoint.
+// End unregisters the call and counts its sample; nil if the call says nothing about the endpoint.
 func (c *Call) End(s *Sample) {
 	p := c.participant
 	p.mu.Lock()
@@ -84,55 +85,55 @@
 	if s == nil {
 		return
 	}
-	for _, known := range p.part {
+	for _, known := range p.participations {
 		if known.order.Service == c.service {
 			known.tally.Add(*s, known.order.Version == c.version)
 		}
 	}
 }
 
-// Know takes in which orders are in force, and forgets all others.
+// Know sets the orders in force and drops all others.
 func (p *Participant) Know(orders []fleet.Rollout) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := make(map[uint64]*part, len(orders))
+	known := make(map[uint64]*participation, len(orders))
 	for _, order := range orders {
-		known[order.Revision] = p.part[order.Revision]
+		known[order.Revision] = p.participations[order.Revision]
 		if known[order.Revision] == nil {
-			known[order.Revision] = &part{order: order, since: p.clock.Now(), tally: NewTally()}
+			known[order.Revision] = &participation{order: order, knownSince: p.clock.Now(), tally: NewTally()}
 		}
 	}
-	p.part = known
+	p.participations = known
 }
 
-// Report is what the instance has to report of an order; it names no instance.
+// Report returns the report for an order, without the instance's identity.
 func (p *Participant) Report(order uint64) (Report, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.part[order]
+	known := p.participations[order]
 	if known == nil {
 		return Report{}, false
 	}
 	now := p.clock.Now()
-	left := p.left(known.order)
+	left := p.oldCalls(known.order)
 	proven := known.standing(now).Exposure == fleet.Proven
 	return Report{
 		Service: known.order.Service,
 		Version: known.order.Version,
 		Order:   order,
-		AgeMs:   now.Sub(known.since).Milliseconds(),
-		State:   known.told.State,
-		Step:    known.told.Step,
+		AgeMs:   now.Sub(known.knownSince).Milliseconds(),
+		State:   known.instruction.State,
+		Step:    known.instruction.Step,
 		Tally:   known.tally.clone(),
 		Clear:   proven && left.all == 0,
 		Movable: proven && left.all == left.movable,
 	}, true
 }
 
-// left are the calls under way at endpoints of other versions than an order's.
-func (p *Participant) left(order fleet.Rollout) running {
-	var left running
-	for version, r := range p.underWay[order.Service] {
+// oldCalls returns the calls in flight at versions other than the ordered one.
+func (p *Participant) oldCalls(order fleet.Rollout) callCounts {
+	var left callCounts
+	for version, r := range p.inFlight[order.Service] {
 		if version != order.Version {
 			left.all += r.all
 			left.movable += r.movable
@@ -141,58 +142,58 @@
 	return left
 }
 
-// Told takes in what the conductor of an order has instructed, and until when that holds.
+// Told applies an instruction of the conductor, valid until the given time.
 func (p *Participant) Told(order uint64, i Instruction, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.part[order]
-	if known == nil || known.told.Recorded || known.told.State == Reverted && !i.Recorded {
-		// What is decided stays; only the record goes before a decision.
+	known := p.participations[order]
+	if known == nil || known.instruction.Recorded || known.instruction.State == Reverted && !i.Recorded {
+		// A decision is final; it is replaced only by the recorded state.
 		return
 	}
-	// A conductor that has just started knows of no step.
-	i.Step = max(i.Step, known.told.Step)
-	known.told, known.until = i, until
+	// A new conductor may not know the current step yet.
+	i.Step = max(i.Step, known.instruction.Step)
+	known.instruction, known.validUntil = i, until
 }
 
-// awaitedFor is how long after an order was heard of word of it is waited for.
-const awaitedFor = 5 * time.Second
+// awaitPeriod is how long the first instruction for an order is awaited.
+const awaitPeriod = 5 * time.Second
 
-// Awaits tells whether word of an order may come soon: it was heard of not long ago. An instance that has just
-// started has a version withheld that was proven long ago.
+// Awaits reports whether the first instruction for an order may still arrive. A newly started
+// instance withholds a version until told that it is proven.
 func (p *Participant) Awaits(order fleet.Rollout) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.part[order.Revision]
-	return known == nil || p.clock.Since(known.since) < awaitedFor
+	known := p.participations[order.Revision]
+	return known == nil || p.clock.Since(known.knownSince) < awaitPeriod
 }
 
-// standing is how the rollout stands here. What was told holds for a while only: the next word may not get
-// through, and say that the version is bad.
-func (k *part) standing(now time.Time) fleet.Standing {
-	forGood := k.told.Recorded || k.told.State == Reverted
-	if !forGood && now.After(k.until) {
+// standing returns the standing of the rollout. Instructions expire, because a later one that
+// refutes the version may have been lost.
+func (k *participation) standing(now time.Time) fleet.Standing {
+	forGood := k.instruction.Recorded || k.instruction.State == Reverted
+	if !forGood && now.After(k.validUntil) {
 		return fleet.Standing{}
 	}
-	return fleet.Standing{Exposure: k.told.Exposure, Share: k.told.Share}
+	return fleet.Standing{Exposure: k.instruction.Exposure, Share: k.instruction.Share}
 }
 
-// Standings are how all rollouts stand here.
+// Standings returns the standings of all rollouts.
 func (p *Participant) Standings() fleet.Standings {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	standings := make(fleet.Standings, len(p.part))
-	for order, known := range p.part {
+	standings := make(fleet.Standings, len(p.participations))
+	for order, known := range p.participations {
 		standings[order] = known.standing(now)
 	}
 	return standings
 }
 
-// Ended tells whether the last word of an order is recorded, and known here.
+// Ended reports whether the final state of an order is recorded and known here.
 func (p *Participant) Ended(order uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.part[order]
-	return known != nil && known.told.Recorded
+	known := p.participations[order]
+	return known != nil && known.instruction.Recorded
 }
--- a/pkg/rollout/tally.go
+++ b/pkg/rollout/tally.go
@@ -1,19 +1,20 @@
-// Package rollout decides how the traffic of a service moves from the endpoints of one version to those of
-// another: what share the new version gets, whether it is as good as the old one, and when the old endpoints may
-// stop. It does no I/O but for the keeper, which asks and tells through narrow interfaces.
+// Package rollout decides how a service's traffic moves from one version to another: the share of
+// the new version, whether it is as good as the old one, and when the old endpoints may stop. Apart
+// from its manager, which uses narrow interfaces, it does no I/O.
 package rollout
 
 import "time"
 
-// Bounds of the times that are told apart: the first, in milliseconds, and how much longer each next one is.
+// Latency histogram buckets: firstBound is the first upper bound in milliseconds, boundFactor the
+// ratio between bounds.
 const (
 	firstBound  = 5.0
 	boundFactor = 1.5
-	// bounds is how many there are: the last is 3.3 s, and all that is longer counts alike.
+	// bounds is the number of bounds; the last bucket contains all greater values.
 	bounds = 17
 )
 
-// boundOf returns the number of the least bound that a time does not pass.
+// boundOf returns the bucket of a duration.
 func boundOf(took time.Duration) int {
 	bound := firstBound * float64(time.Millisecond)
 	for n := range bounds {
@@ -25,18 +26,16 @@
 	return bounds
 }
 
-// Side is what endpoints of one version answered.
+// Side counts the answers of one side of the comparison.
 type Side struct {
-	// Answers are all that came, or that should have come; Failures those that were none, or said that the
-	// endpoint failed.
+	// Answers counts all expected answers, Failures those that were missing or reported a failure.
 	Answers  int `json:"answers,omitempty"`
 	Failures int `json:"failures,omitempty"`
-	// Times counts the answers by how long they took: those of Times[n] did not pass bound n, and did pass the
-	// one before. It is empty if none was timed.
+	// Times is the latency histogram; empty if nothing was timed.
 	Times []int `json:"times,omitempty"`
 }
 
-// Timed is how many answers were timed.
+// Timed returns the number of timed answers.
 func (s Side) Timed() int {
 	n := 0
 	for _, times := range s.Times {
@@ -45,28 +44,27 @@
 	return n
 }
 
-func nth(times []int, at int) int {
+func countAt(times []int, at int) int {
 	if at < len(times) {
 		return times[at]
 	}
 	return 0
 }
 
-// Pair is what endpoints of the new version and of the others answered.
+// Pair contains the counts of the new version and of the others.
 type Pair struct {
 	New Side `json:"new,omitzero"`
 	Old Side `json:"old,omitzero"`
 }
 
-// Tally is what was answered by measure: a route, or the pauses of its streams. A version may be bad on one
-// route only.
+// Tally contains the counts by measure: a route, or the pauses between events of its streams.
 type Tally map[string]Pair
 
 // NewTally returns an empty tally.
 func NewTally() Tally { return Tally{} }
 
-// include adds another tally to this one, which shares nothing with any other.
-func (t Tally) include(other Tally) {
+// merge adds another tally without sharing memory with it.
+func (t Tally) merge(other Tally) {
 	for measure, pair := range other {
 		sum := t[measure]
 		sum.New.add(pair.New)
@@ -75,15 +73,15 @@
 	}
 }
 
-// clone returns a tally that shares nothing with this one.
+// clone returns a deep copy.
 func (t Tally) clone() Tally {
 	c := NewTally()
-	c.include(t)
+	c.merge(t)
 	return c
 }
 
-// answers is how many answers of the new version count, over all routes.
-func (t Tally) answers() int {
+// newAnswers returns the number of answers of the new version over all routes.
+func (t Tally) newAnswers() int {
 	n := 0
 	for _, pair := range t {
 		n += pair.New.Answers
@@ -91,41 +89,41 @@
 	return n
 }
 
-// pauses is the measure of the pauses of a route's streams.
-func pauses(route string) string { return route + " pauses" }
+// pauseMeasure returns the measure for pauses between the events of a route's streams.
+func pauseMeasure(route string) string { return route + " pauses" }
 
-// Sample is what became of one call.
+// Sample is the outcome of one call.
 type Sample struct {
 	Route  string
 	Failed bool
-	// Took is the time to the answer, or to the first event of a stream; 0: not known.
+	// Took is the time to the response or to the first event; 0 if unknown.
 	Took time.Duration
-	// Pause is the mean pause between a stream's events; 0: not known.
+	// Pause is the mean pause between events; 0 if unknown.
 	Pause time.Duration
 }
 
-// Add counts a sample, of the new version or of another.
+// Add counts a sample.
 func (t Tally) Add(s Sample, isNew bool) {
 	one := Side{Answers: 1}
 	if s.Failed {
 		one.Failures = 1
 	}
 	if s.Took > 0 {
-		one.Times = timed(s.Took)
+		one.Times = singleTime(s.Took)
 	}
-	t.count(s.Route, one, isNew)
+	t.addSide(s.Route, one, isNew)
 	if s.Pause > 0 {
-		t.count(pauses(s.Route), Side{Times: timed(s.Pause)}, isNew)
+		t.addSide(pauseMeasure(s.Route), Side{Times: singleTime(s.Pause)}, isNew)
 	}
 }
 
-func timed(took time.Duration) []int {
+func singleTime(took time.Duration) []int {
 	times := make([]int, bounds+1)
 	times[boundOf(took)] = 1
 	return times
 }
 
-func (t Tally) count(measure string, one Side, isNew bool) {
+func (t Tally) addSide(measure string, one Side, isNew bool) {
 	pair := t[measure]
 	if isNew {
 		pair.New.add(one)
@@ -135,7 +133,8 @@
 	t[measure] = pair
 }
 
-// add adds another side to this one, whose times nobody else has. That of another build may tell more times apart.
+// add adds the counts of another side. The histogram of another build may have more buckets; the
+// excess goes to the last one.
 func (s *Side) add(other Side) {
 	s.Answers += other.Answers
 	s.Failures += other.Failures
--- a/pkg/rollout/tally_bench_test.go
+++ b/pkg/rollout/tally_bench_test.go
@@ -9,8 +9,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/rollout"
 )
 
-// BenchmarkConductorTally is one sum of what 1,000 instances have reported of four routes: 3.6 ms and 2.1 MB if each step
-// of the sum is a tally of its own, 0.65 ms and 2 KB if all are added to one.
+// BenchmarkConductorTally sums the reports of 1,000 instances with four routes each.
 func BenchmarkConductorTally(b *testing.B) {
 	now := time.Now()
 	c := rollout.NewConductor(fleet.Rollout{Service: "s", Version: "v2", OverMs: 60_000, Revision: 1}, 0.1, now)
