--- a/cmd/cobaltcroftd/gateway/answers_test.go
+++ b/cmd/cobaltcroftd/gateway/answers_test.go
@@ -210,7 +210,7 @@
 		old := d.Of("simple")[0]
 		d.Store.Remove("servers/" + d.Of("simple")[1].ID)
 		old.Reincarnate()
-		// The store has not heard of it; the instance knows the old one only.
+		// The store still lists the old incarnation.
 		Eventually(func() int {
 			_, got := i.ask("once")
 			return got.Status
--- a/cmd/cobaltcroftd/gateway/behind_test.go
+++ b/cmd/cobaltcroftd/gateway/behind_test.go
@@ -17,24 +17,25 @@
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
 )
 
-// teller is a peer that tells of a configuration in its heartbeats and gives it to nobody.
-type teller struct {
+// newerPeer is a peer that announces a newer configuration in its heartbeats but does not provide
+// it.
+type newerPeer struct {
 	gossip    *peers.Gossip
 	heartbeat membership.Heartbeat
 	to        string
 }
 
-func newTeller(to string, revision uint64) *teller {
+func startNewerPeer(to string, revision uint64) *newerPeer {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	Expect(err).NotTo(HaveOccurred())
 	clock := clockwork.NewRealClock()
 	gossip := peers.NewGossip(conn, "a shared token", timeline.NewClock(clock), limits.NewShares(clock), metrics.NewSet(), logging.Discard().For("peers"), nil)
 	DeferCleanup(gossip.Close)
 	self := membership.Self{Name: "teller", Incarnation: 1, FailureDomain: "zone-a", PeerAddress: conn.LocalAddr().String()}
-	return &teller{gossip: gossip, heartbeat: membership.Heartbeat{From: self, Revision: revision}, to: to}
+	return &newerPeer{gossip: gossip, heartbeat: membership.Heartbeat{From: self, Revision: revision}, to: to}
 }
 
-func (t *teller) tell() {
+func (t *newerPeer) sendHeartbeat() {
 	t.heartbeat.Sequence++
 	t.gossip.Broadcast(t.heartbeat, nil, []string{t.to})
 }
@@ -48,8 +49,8 @@
 			return a.Status
 		}
 		Expect(status()).To(Equal(http.StatusOK))
-		teller := newTeller(i.Peers, 1_000_000)
-		Eventually(func() int { teller.tell(); return status() }).Should(Equal(http.StatusServiceUnavailable))
+		peer := startNewerPeer(i.Peers, 1_000_000)
+		Eventually(func() int { peer.sendHeartbeat(); return status() }).Should(Equal(http.StatusServiceUnavailable))
 		Expect(i.ready()).To(BeFalse())
 		id, refused := i.ask("repeat")
 		Expect(refused.Status).To(Equal(http.StatusServiceUnavailable))
--- a/cmd/cobaltcroftd/gateway/evacuation_test.go
+++ b/cmd/cobaltcroftd/gateway/evacuation_test.go
@@ -11,11 +11,12 @@
 )
 
 const (
-	// home and away are the failure domains of a deployment's engines; home is the instance's.
-	home = "zone-a"
-	away = "zone-b"
-	// evacuateBound is how long after an order its failure domain may still get work.
-	evacuateBound = 5 * time.Second
+	// localDomain and remoteDomain are the failure domains of the engines; the instance is in
+	// localDomain.
+	localDomain  = "zone-a"
+	remoteDomain = "zone-b"
+	// evacuationBound is how long an evacuated failure domain may still receive work.
+	evacuationBound = 5 * time.Second
 )
 
 var _ = Describe("an evacuation of a failure domain", func() {
@@ -25,7 +26,7 @@
 	BeforeEach(func() {
 		d = deploy(2)
 		for _, s := range platformtest.Kinds() {
-			s.Zone = away
+			s.Zone = remoteDomain
 			for range 2 {
 				_, err := d.Add(s)
 				Expect(err).NotTo(HaveOccurred())
@@ -36,7 +37,7 @@
 	evacuate := func(zone string) { d.Store.Put("op/evacuate/"+zone, struct{}{}) }
 	restore := func(zone string) { d.Store.Remove("op/evacuate/" + zone) }
 
-	// arrived is how many requests and calls came to the engines of a failure domain.
+	// arrived returns the number of requests and calls received by the engines of a failure domain.
 	arrived := func(zone string) int {
 		n := 0
 		for _, e := range d.Engines {
@@ -47,8 +48,9 @@
 		return n
 	}
 
-	// quiet returns how many requests reach a failure domain while traffic comes.
-	quiet := func(i *instance, zone string) func() int {
+	// arrivals returns a function that sends traffic and counts the requests that reach a failure
+	// domain.
+	arrivals := func(i *instance, zone string) func() int {
 		return func() int {
 			before := arrived(zone)
 			traffic(i, kinds...)
@@ -58,17 +60,17 @@
 
 	It("sends nothing more there within its bound, of any kind, and serves all elsewhere until it is taken back", func() {
 		i := start(d.Address())
-		Eventually(quiet(i, home)).ShouldNot(BeZero())
-		evacuate(home)
-		Eventually(quiet(i, home)).WithTimeout(evacuateBound).Should(BeZero())
-		before := arrived(home)
+		Eventually(arrivals(i, localDomain)).ShouldNot(BeZero())
+		evacuate(localDomain)
+		Eventually(arrivals(i, localDomain)).WithTimeout(evacuationBound).Should(BeZero())
+		before := arrived(localDomain)
 		for range 10 {
 			Expect(traffic(i, kinds...)).To(HaveEach(http.StatusOK))
 		}
-		Expect(arrived(home)).To(Equal(before))
+		Expect(arrived(localDomain)).To(Equal(before))
 		Expect(i.ready()).To(BeTrue())
-		restore(home)
-		Eventually(quiet(i, home)).ShouldNot(BeZero())
+		restore(localDomain)
+		Eventually(arrivals(i, localDomain)).ShouldNot(BeZero())
 	})
 
 	It("lets what runs there end in peace", func() {
@@ -87,16 +89,16 @@
 			return n
 		}
 		Eventually(working).Should(Equal(1))
-		evacuate(home)
-		evacuate(away)
+		evacuate(localDomain)
+		evacuate(remoteDomain)
 		Expect(<-done).To(SatisfyAll(HaveField("Body", events(id, 8)), HaveField("Whole", true)))
 		Expect(d.Runs("model", id)).To(HaveLen(1))
 	})
 
 	It("of all failure domains refuses all at once, as not run, and stays ready", func() {
 		i := start(d.Address())
-		evacuate(home)
-		evacuate(away)
+		evacuate(localDomain)
+		evacuate(remoteDomain)
 		for _, route := range []string{"once", "repeat", "stream"} {
 			Eventually(func() answer { _, got := i.ask(route); return got }).Should(SatisfyAll(
 				HaveField("Status", http.StatusServiceUnavailable),
@@ -107,7 +109,7 @@
 		Expect(traffic(i, kinds...)).To(HaveEach(http.StatusServiceUnavailable))
 		Expect(time.Since(begin)).To(BeNumerically("<", time.Second), "the deadline is 5 s")
 		Expect(i.ready()).To(BeTrue())
-		restore(away)
+		restore(remoteDomain)
 		Eventually(func() []int { return traffic(i, kinds...) }).Should(HaveEach(http.StatusOK))
 	})
 
@@ -120,8 +122,8 @@
 			}
 		}
 		i := start(d.Address())
-		evacuate(home)
-		evacuate(away)
+		evacuate(localDomain)
+		evacuate(remoteDomain)
 		Eventually(func() int { _, got := i.ask("stream"); return got.Status }).Should(Equal(http.StatusServiceUnavailable))
 		before := arrived("zone-c")
 		Expect(traffic(i, kinds...)).To(HaveEach(http.StatusServiceUnavailable))
@@ -129,29 +131,29 @@
 	})
 
 	It("is known to an instance that starts while it is in force, from the store or from a peer", func() {
-		evacuate(home)
+		evacuate(localDomain)
 		a := start(d.Address())
-		b := launch(unheard(), a.Peers)
+		b := launch(unresponsiveAddress(), a.Peers)
 		Eventually(b.ready).Should(BeTrue())
 		for _, i := range []*instance{a, b} {
 			Eventually(func() []int { return traffic(i, kinds...) }).Should(HaveEach(http.StatusOK))
 		}
-		Expect(arrived(home)).To(BeZero())
+		Expect(arrived(localDomain)).To(BeZero())
 	})
 
 	It("holds through an outage of the store, its lost history, and orders that come together", func() {
 		i := start(d.Address())
-		evacuate(home)
-		Eventually(quiet(i, home)).WithTimeout(evacuateBound).Should(BeZero())
+		evacuate(localDomain)
+		Eventually(arrivals(i, localDomain)).WithTimeout(evacuationBound).Should(BeZero())
 		d.Store.SetFault(platformtest.StoreSilent)
-		Consistently(quiet(i, home)).WithTimeout(2500 * time.Millisecond).Should(BeZero())
-		restore(home)
-		evacuate(away)
-		evacuate(home)
-		restore(away)
+		Consistently(arrivals(i, localDomain)).WithTimeout(2500 * time.Millisecond).Should(BeZero())
+		restore(localDomain)
+		evacuate(remoteDomain)
+		evacuate(localDomain)
+		restore(remoteDomain)
 		d.Store.Forget()
 		d.Store.SetFault(platformtest.StoreWell)
-		Consistently(quiet(i, home)).WithTimeout(2500 * time.Millisecond).Should(BeZero())
-		Expect(quiet(i, away)()).NotTo(BeZero())
+		Consistently(arrivals(i, localDomain)).WithTimeout(2500 * time.Millisecond).Should(BeZero())
+		Expect(arrivals(i, remoteDomain)()).NotTo(BeZero())
 	})
 })
--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -1,5 +1,4 @@
-// Package gateway puts an instance together that stands before HTTP endpoints on the
-// company platform.
+// Package gateway assembles a gateway instance for HTTP endpoints on the company platform.
 package gateway
 
 import (
@@ -52,35 +51,35 @@
 const (
 	heartbeat    = time.Second
 	suspectAfter = 3 * time.Second
-	// batchTick is the time between looks at pieces that wait though nothing happens.
+	// batchTick is the polling period for queued pieces.
 	batchTick = 20 * time.Millisecond
-	// sweepPeriod is the time between looks at kept connections and old knowledge.
+	// sweepPeriod is the period for dropping idle connections and outdated state.
 	sweepPeriod = time.Second
-	// settingsPeriod is the time between looks at the settings file.
+	// settingsPeriod is the polling period for the settings file.
 	settingsPeriod = 2 * time.Second
-	// heapPart is the part of the memory limit that the runtime keeps to.
-	heapPart = 0.7
-	// heldPart is the part of the memory limit that bodies and answers may take which are held: each is copied once
-	// while it is read, and again while it goes out, and the rest is for what is known.
-	heldPart = 0.25
-	megabyte = 1e6
+	// heapLimitRatio is the fraction of the memory limit given to the Go runtime.
+	heapLimitRatio = 0.7
+	// heldLimitRatio is the fraction of the memory limit for request and response bodies. Each is
+	// copied once while it is read and once while it is sent; the rest is for other state.
+	heldLimitRatio = 0.25
+	megabyte       = 1e6
 )
 
 // Gateway is one instance.
 type Gateway struct {
 	path     string
 	settings settings.Gateway
-	// regions has the region of each failure domain.
+	// regions maps failure domains to regions.
 	regions ownership.Regions
-	// counted is how many endpoints there were last.
-	counted atomic.Pointer[counted]
-	clock   clockwork.Clock
-	started time.Time
-	logs    *logging.Logs
-	output  *logging.Async
-	log     *logrus.Entry
-	metrics *metrics.Set
-	tomb    tomb.Tomb
+	// supplyCache is the last computed supply.
+	supplyCache atomic.Pointer[cachedSupply]
+	clock       clockwork.Clock
+	started     time.Time
+	logs        *logging.Logs
+	output      *logging.Async
+	log         *logrus.Entry
+	metrics     *metrics.Set
+	tomb        tomb.Tomb
 
 	store    *platform.Store
 	client   *peers.Client
@@ -88,41 +87,40 @@
 	group    *group.Group
 	gossip   *peers.Gossip
 	follower *discovery.Follower
-	// rests are those that endpoints want from this machine.
-	rests *notice.Rests
-	// limited has the limits that endpoints name for all instances.
-	limited *throttle.Table
-	// permits have all instances together heed them.
+	// backoffs are the backoffs that endpoints asked of this machine.
+	backoffs *notice.Rests
+	// rateLimits are the endpoints' rate limits for all instances together.
+	rateLimits *throttle.Table
+	// permits enforces the rate limits across instances.
 	permits *throttle.Keeper
-	// unread counts the rests and limits in words that can't be read.
-	unread *metrics.Counter
-	// unknownTerms are the terms of answers that were told once.
+	// unreadNotices counts backoffs and limits that could not be parsed.
+	unreadNotices *metrics.Counter
+	// unknownTerms are the unknown response terms already logged.
 	unknownTerms sync.Map
 	conns        *httpconn.Pool
 	balancer     *balance.Balancer
-	// budget is for requests sent again, pieces for pieces made again.
-	budget *retry.Budget
-	pieces *retry.Budget
-	// quarantine has the requests that end their endpoints.
+	// budget limits retries of requests, pieceBudget retries of pieces.
+	budget      *retry.Budget
+	pieceBudget *retry.Budget
+	// quarantine tracks requests that crash their endpoints.
 	quarantine *quarantine.Manager
-	// rollouts move traffic between versions.
+	// rollouts moves traffic between versions.
 	rollouts *rollout.Keeper
-	// held counts the bodies and answers that are held.
+	// held accounts for the memory of request and response bodies.
 	held *held.Account
 
 	batcher  *batch.Batcher
 	executor *pkggateway.Executor
-	face     *ingress.Face
+	ingress  *ingress.Face
 	router   *handover.Router
 	handler  *handover.Handler
 	server   *peers.Server
 
-	listeners listeners
-	told      toldUsage
-	stopping  stopState
+	listeners   listeners
+	loggedUsage usageSnapshot
+	stopping    stopState
 }
 
-// listeners are the sockets of an instance.
 type listeners struct {
 	requests  net.Listener
 	readiness net.Listener
@@ -131,7 +129,7 @@
 	heartbeat *net.UDPConn
 }
 
-// New returns an instance with the settings of the file at path, that logs to out.
+// New returns an instance with settings read from the file at path. It logs to out.
 func New(path string, s settings.Gateway, out io.Writer) (*Gateway, error) {
 	output := logging.NewAsync(out)
 	logs, err := logging.New(output, s.Log)
@@ -146,20 +144,20 @@
 		log:      logs.For("gateway"),
 		metrics:  metrics.NewSet(),
 	}
-	g.clock = bootclock.New(g.awoke)
+	g.clock = bootclock.New(g.onResume)
 	g.started = g.clock.Now()
-	debug.SetMemoryLimit(int64(heapPart * megabyte * float64(s.MemoryMB)))
+	debug.SetMemoryLimit(int64(heapLimitRatio * megabyte * float64(s.MemoryMB)))
 	g.metrics.NewGauge("cobaltcroft_log_lines_dropped_total", func() float64 { return float64(output.Dropped()) })
 	if err := g.listen(); err != nil {
 		return nil, err
 	}
-	g.assemble()
+	g.build()
 	return g, nil
 }
 
-// awoke is called when the machine was suspended for a time.
-func (g *Gateway) awoke(span time.Duration) {
-	g.log.WithFields(logrus.Fields{"event": "suspended", "ms": span.Milliseconds()}).Warn("all that is known is older by that")
+// onResume is called after the machine was suspended.
+func (g *Gateway) onResume(span time.Duration) {
+	g.log.WithFields(logrus.Fields{"event": "suspended", "ms": span.Milliseconds()}).Warn("the machine was suspended; cached state has aged by that time")
 }
 
 func (g *Gateway) listen() error {
@@ -174,16 +172,16 @@
 	return errors.Join(errs[:]...)
 }
 
-// Addresses are those at which an instance listens.
+// Addresses are the listening addresses of an instance.
 type Addresses struct {
 	Requests  string
 	Readiness string
 	Peers     string
-	// Metrics is empty if none are served.
+	// Metrics is empty if metrics are not served.
 	Metrics string
 }
 
-// Addresses returns where the instance listens.
+// Addresses returns the listening addresses.
 func (g *Gateway) Addresses() Addresses {
 	metricsAddress := ""
 	if g.listeners.metrics != nil {
@@ -197,8 +195,8 @@
 	}
 }
 
-// assemble makes the parts, from those that need nothing to those that need most.
-func (g *Gateway) assemble() {
+// build creates the components in the order of their dependencies.
+func (g *Gateway) build() {
 	s := g.settings
 	g.regions = ownership.NewRegions(s.Regions)
 	self := membership.Self{
@@ -212,26 +210,26 @@
 	g.held = held.NewAccount(heldLimit(s))
 	g.metrics.NewGauge("cobaltcroft_held_bytes", func() float64 { return float64(g.held.Held()) })
 	table := quarantine.New(g.clock, g.logs.For("quarantine"))
-	// The group is put together below; no request comes before.
-	tellAll := func() { g.group.TellAll() }
-	g.quarantine = quarantine.NewManager(table, g.store, tellAll, g.clock, g.logs.For("quarantine"))
+	// The group is created below, before the first request.
+	broadcast := func() { g.group.TellAll() }
+	g.quarantine = quarantine.NewManager(table, g.store, broadcast, g.clock, g.logs.For("quarantine"))
 	g.metrics.NewGauge("cobaltcroft_quarantined_requests", func() float64 { return float64(g.quarantine.Count()) })
 	g.usage = peers.NewUsage(g.metrics)
 	g.client = peers.NewClient(s.Instance, s.PeerToken, g.usage)
 	g.gossip = peers.NewGossip(g.listeners.heartbeat, s.PeerToken, timeline.NewClock(g.clock), limits.NewShares(g.clock), g.metrics, g.logs.For("peers"), func(membership.Self, uint64) {})
 	g.group = group.New(g.groupSettings(self), g.gossip, g.clock, g.logs.For("peers"))
 	g.follower = discovery.New(g.store, &handover.Knowledge{Client: g.client, Self: self, Live: g.group.Live, Contacts: s.Peers, Tell: g.group.Tell}, g.clock, g.logs.For("discovery"))
-	g.unread = g.metrics.NewCounter("cobaltcroft_notices_unread_total")
-	g.limited = throttle.NewTable(g.clock, g.logs.For("throttle"))
-	granting := &handover.Permits{Client: g.client, Instance: self, Stopping: g.stopping.begun, Members: g.group.Live, Departing: g.group.Leaving}
-	g.permits = throttle.NewKeeper(g.limited, granting, g.domainOf, g.clock, g.logs.For("throttle"))
-	g.rests = notice.NewRests(g.clock, g.permits, g.logs.For("notice"))
-	g.metrics.NewGauge("cobaltcroft_endpoints_limited", func() float64 { return float64(g.limited.Count()) })
-	g.conns = httpconn.NewPool(g.clock, g.metrics, httpconn.Gates{Connect: g.mayConnect, Send: g.maySend, Spend: g.spend}, g.heardAnswer)
-	g.balancer = balance.New(g.clock, g.rests)
+	g.unreadNotices = g.metrics.NewCounter("cobaltcroft_notices_unread_total")
+	g.rateLimits = throttle.NewTable(g.clock, g.logs.For("throttle"))
+	permitPeers := &handover.Permits{Client: g.client, Instance: self, Stopping: g.stopping.begun, Members: g.group.Live, Departing: g.group.Leaving}
+	g.permits = throttle.NewKeeper(g.rateLimits, permitPeers, g.domainOf, g.clock, g.logs.For("throttle"))
+	g.backoffs = notice.NewRests(g.clock, g.permits, g.logs.For("notice"))
+	g.metrics.NewGauge("cobaltcroft_endpoints_limited", func() float64 { return float64(g.rateLimits.Count()) })
+	g.conns = httpconn.NewPool(g.clock, g.metrics, httpconn.Gates{Connect: g.checkRouting, Send: g.checkBackoff, Spend: g.takePermit}, g.observeResponse)
+	g.balancer = balance.New(g.clock, g.backoffs)
 	g.budget = retry.NewBudget(g.clock, budgetBounds(s), g.instances)
-	g.pieces = retry.NewBudget(g.clock, budgetBounds(s), g.instances)
-	g.batcher = batch.New(&platform.Stages{Conns: g.conns, Clock: g.clock}, known{g.follower, g.rests}, g.pieces, g.clock, g.metrics, g.logs.For("batch"))
+	g.pieceBudget = retry.NewBudget(g.clock, budgetBounds(s), g.instances)
+	g.batcher = batch.New(&platform.Stages{Conns: g.conns, Clock: g.clock}, batchView{g.follower, g.backoffs}, g.pieceBudget, g.clock, g.metrics, g.logs.For("batch"))
 	g.batcher.ByRegion(g.regions)
 	planner := pipeline.NewPlanner(g.batcher, g.clock, g.metrics, g.logs.For("pipeline"))
 	g.router = handover.NewRouter(handover.Options{
@@ -248,8 +246,8 @@
 		Clock:    g.clock,
 		Log:      g.logs.For("handover"),
 	})
-	conducting := &handover.Conducting{Client: g.client, Instance: self, Live: g.group.Live}
-	g.rollouts = rollout.NewKeeper(rolling{g.follower}, conducting, g.store, s.Rollouts.Share, g.clock, g.logs.For("rollout"))
+	rolloutPeers := &handover.Conducting{Client: g.client, Instance: self, Live: g.group.Live}
+	g.rollouts = rollout.NewKeeper(rolloutView{g.follower}, rolloutPeers, g.store, s.Rollouts.Share, g.clock, g.logs.For("rollout"))
 	g.executor = pkggateway.New(pkggateway.Options{
 		View:      g.follower.View,
 		Dialect:   platform.Dialect{},
@@ -269,40 +267,42 @@
 		Rollouts:   g.rollouts.Participant,
 		Held:       g.held,
 	})
-	g.metrics.NewGauge("cobaltcroft_endpoints_resting", func() float64 { return float64(g.rests.Count()) })
+	g.metrics.NewGauge("cobaltcroft_endpoints_resting", func() float64 { return float64(g.backoffs.Count()) })
 	g.metrics.NewGauge("cobaltcroft_endpoints_departing", func() float64 { return float64(g.follower.Departures()) })
 	g.metrics.NewGauge("cobaltcroft_entries_refused_total", func() float64 { return float64(g.follower.RefusedEntries()) })
 	g.metrics.NewGauge("cobaltcroft_evacuated_failure_domains", func() float64 { return float64(len(g.follower.View().Evacuations().Domains)) })
-	g.face = ingress.New(ingress.Options{Run: g.executor.Run, Dialect: platform.Dialect{}, Limits: g.limits, Held: g.held, Clock: g.clock, Log: g.logs.For("ingress")})
+	g.ingress = ingress.New(ingress.Options{Run: g.executor.Run, Dialect: platform.Dialect{}, Limits: g.limits, Held: g.held, Clock: g.clock, Log: g.logs.For("ingress")})
 	g.handler = handover.NewHandler(g.router, g.follower, g.rollouts, g.permits)
 	g.server = peers.NewServer(g.handler, s.PeerToken, g.usage, g.logs.For("peers"))
 }
 
-// heldLimit is how many bytes of bodies and answers may be held.
-func heldLimit(s settings.Gateway) int64 { return int64(heldPart * megabyte * float64(s.MemoryMB)) }
+// heldLimit returns the memory limit for request and response bodies.
+func heldLimit(s settings.Gateway) int64 {
+	return int64(heldLimitRatio * megabyte * float64(s.MemoryMB))
+}
 
 func budgetBounds(s settings.Gateway) retry.Bounds {
 	return retry.Bounds{Ratio: s.Retries.Ratio, Slack: s.Retries.Slack, Window: s.Retries.Window()}
 }
 
-// instances is how many instances there are, as far as is known.
+// instances returns the number of known instances, including this one.
 func (g *Gateway) instances() int { return 1 + len(g.group.Live()) }
 
-// mayConnect is the gate of all that goes to endpoints: one in an evacuated failure domain gets nothing, nor one of a
-// version that is not to get work.
-func (g *Gateway) mayConnect(target httpconn.Target) error {
+// checkRouting rejects calls to endpoints in evacuated failure domains or of versions that get no
+// traffic.
+func (g *Gateway) checkRouting(target httpconn.Target) error {
 	view := g.follower.View()
 	if view.Evacuations().Has(target.FailureDomain) {
 		return problem.New(problem.Unavailable, "use an endpoint of another failure domain", "failure domain %s of endpoint %s is evacuated", target.FailureDomain, target.ID)
 	}
 	if view.Fleet.Barred(target.ID) {
-		return problem.New(problem.Unavailable, "use an endpoint of another version", "the version of endpoint %s gets no work", target.ID)
+		return problem.New(problem.Unavailable, "use an endpoint of another version", "the version of endpoint %s receives no traffic", target.ID)
 	}
 	return nil
 }
 
-// sponsors tells whether this instance alone sends to an endpoint that is cold. One that has just
-// started may not know of the others.
+// sponsors reports whether this instance is the only one that may use a cold endpoint. A newly
+// started instance may not know the others yet.
 func (g *Gateway) sponsors(endpoint string) bool {
 	if g.clock.Since(g.started) < suspectAfter {
 		return false
@@ -322,14 +322,14 @@
 	return table.Limits, true
 }
 
-// known is what the batcher knows of services and endpoints.
-type known struct {
+// batchView is the batcher's view of services and endpoints.
+type batchView struct {
 	follower *discovery.Follower
 	rests    *notice.Rests
 }
 
 // Batching implements batch.Known.
-func (k known) Batching(service string) *route.Batching {
+func (k batchView) Batching(service string) *route.Batching {
 	table := k.follower.View().Table
 	if table == nil || table.Service(service) == nil {
 		return nil
@@ -338,17 +338,19 @@
 }
 
 // Ready implements batch.Known.
-func (k known) Ready(service string) []fleet.Endpoint { return k.follower.View().Fleet.Ready(service) }
+func (k batchView) Ready(service string) []fleet.Endpoint {
+	return k.follower.View().Fleet.Ready(service)
+}
 
 // Endpoint implements batch.Known.
-func (k known) Endpoint(id string) (fleet.Endpoint, bool) {
+func (k batchView) Endpoint(id string) (fleet.Endpoint, bool) {
 	return k.follower.View().Fleet.Endpoint(id)
 }
 
 // Rest implements batch.Known.
-func (k known) Rest(id string) time.Duration { return k.rests.Left(id) }
+func (k batchView) Rest(id string) time.Duration { return k.rests.Left(id) }
 
-// Run runs the instance until it has stopped as planned.
+// Run runs the instance until it has shut down.
 func (g *Gateway) Run(signals <-chan os.Signal) error {
 	g.log.WithFields(logrus.Fields{"event": "started", "instance": g.settings.Instance, "failure_domain": g.settings.FailureDomain, "requests": g.settings.Listen.Requests, "peers": g.settings.Listen.Peers, "store": g.settings.Store}).Info()
 	ctx := g.tomb.Context(context.Background())
@@ -356,17 +358,17 @@
 	g.tomb.Go(func() error { return g.group.Run(&g.tomb) })
 	g.tomb.Go(func() error { return g.gossip.Run(&g.tomb, g.group) })
 	g.tomb.Go(func() error { g.server.Serve(g.listeners.peers); return nil })
-	g.tomb.Go(func() error { return g.face.Serve(g.listeners.requests) })
-	g.tomb.Go(func() error { g.face.Sweep(ctx); return nil })
+	g.tomb.Go(func() error { return g.ingress.Serve(g.listeners.requests) })
+	g.tomb.Go(func() error { g.ingress.Sweep(ctx); return nil })
 	g.tomb.Go(func() error { g.quarantine.Run(ctx); return nil })
 	g.tomb.Go(func() error { g.rollouts.Run(ctx); return nil })
 	g.tomb.Go(func() error { g.every(ctx, batchTick, g.batcher.Tick); return nil })
 	g.tomb.Go(func() error { g.every(ctx, sweepPeriod, g.sweep); return nil })
 	go func() { _ = http.Serve(g.listeners.readiness, http.HandlerFunc(g.ready)) }()
 	if g.listeners.metrics != nil {
-		go func() { _ = http.Serve(g.listeners.metrics, g.operatorsFace()) }()
+		go func() { _ = http.Serve(g.listeners.metrics, g.operatorsHandler()) }()
 	}
-	return g.obey(signals)
+	return g.handleSignals(signals)
 }
 
 func (g *Gateway) every(ctx context.Context, period time.Duration, do func()) {
@@ -382,8 +384,8 @@
 	}
 }
 
-// sweep drops connections to endpoints that have gone, and what was seen of them; and looks who
-// should own which part.
+// sweep drops connections to and statistics of endpoints that no longer exist, and rechecks the
+// ownership of partitions.
 func (g *Gateway) sweep() {
 	view := g.follower.View()
 	exists := func(id string) bool {
@@ -393,33 +395,34 @@
 	g.conns.Sweep(exists)
 	g.balancer.Forget(exists)
 	g.quarantine.Sweep()
-	g.rests.Sweep()
-	g.limited.Sweep(exists)
+	g.backoffs.Sweep()
+	g.rateLimits.Sweep(exists)
 	g.permits.Look()
 	g.router.Look()
-	g.tellUsage(g.clock.Now())
+	g.logUsage(g.clock.Now())
 }
 
-// ready answers the balancer's question.
+// ready serves the readiness check of the load balancer.
 func (g *Gateway) ready(w http.ResponseWriter, r *http.Request) {
 	view := g.follower.View()
 	switch {
 	case r.URL.Path != platform.ReadyPath:
 		http.NotFound(w, r)
-	case g.stopping.begun() || !g.knowsEnough(view):
+	case g.stopping.begun() || !g.canServe(view):
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
 		w.WriteHeader(http.StatusOK)
 	}
 }
 
-// knowsEnough tells whether requests can be served by what is known.
-func (g *Gateway) knowsEnough(view *discovery.View) bool {
-	return view.Complete() && view.Fleet.Any() && !view.Behind(g.clock.Now()) && !g.lacksVersions(view)
+// canServe reports whether the instance knows enough to serve requests.
+func (g *Gateway) canServe(view *discovery.View) bool {
+	return view.Complete() && view.Fleet.Any() && !view.Behind(g.clock.Now()) && !g.awaitsInstruction(view)
 }
 
-// obey waits for signals and changed settings until the instance has stopped.
-func (g *Gateway) obey(signals <-chan os.Signal) error {
+// handleSignals processes signals and changes of the settings file until the instance has shut
+// down.
+func (g *Gateway) handleSignals(signals <-chan os.Signal) error {
 	ticker := g.clock.NewTicker(settingsPeriod)
 	defer ticker.Stop()
 	modified := modifiedAt(g.path)
@@ -452,8 +455,7 @@
 	return info.ModTime()
 }
 
-// reload takes changed settings in: those of retries, memory and stopping. Addresses,
-// names and the store need a restart.
+// reload applies changed settings for retries, memory and shutdown. Other settings need a restart.
 func (g *Gateway) reload(cause string) {
 	s, err := settings.ReadGateway(g.path)
 	if err != nil {
@@ -461,8 +463,8 @@
 		return
 	}
 	g.budget.SetBounds(budgetBounds(s))
-	g.pieces.SetBounds(budgetBounds(s))
-	debug.SetMemoryLimit(int64(heapPart * megabyte * float64(s.MemoryMB)))
+	g.pieceBudget.SetBounds(budgetBounds(s))
+	debug.SetMemoryLimit(int64(heapLimitRatio * megabyte * float64(s.MemoryMB)))
 	g.held.SetLimit(heldLimit(s))
 	g.settings.Retries, g.settings.MemoryMB, g.settings.StopGraceSeconds = s.Retries, s.MemoryMB, s.StopGraceSeconds
 	g.log.WithFields(logrus.Fields{"event": "settings_reloaded", "cause": cause}).Info()
--- a/cmd/cobaltcroftd/gateway/life_test.go
+++ b/cmd/cobaltcroftd/gateway/life_test.go
@@ -84,7 +84,7 @@
 		d.Store.Put("servers/"+leaving.ID, leaving.Entry("draining"))
 		d.Store.Forget()
 		d.Store.SetFault(platformtest.StoreWell)
-		// An instance watches for the first time a second after its start, and knows soon after.
+		// An instance starts watching one second after its start.
 		time.Sleep(2 * time.Second)
 		arrived := leaving.Arrived()
 		for range 6 {
@@ -115,7 +115,7 @@
 
 	It("learns the configuration from a peer when it can't reach the store", func() {
 		a := start(d.Address())
-		b := launch(unheard(), a.Peers)
+		b := launch(unresponsiveAddress(), a.Peers)
 		Eventually(b.ready).Should(BeTrue())
 		Eventually(status(b, "once")).Should(Equal(http.StatusOK))
 		d.Config.Routes[0].PathPrefix = "/moved/"
@@ -141,7 +141,7 @@
 		Eventually(func() int { return d.Of("model")[0].Working() + d.Of("model")[1].Working() }).Should(Equal(1))
 		i.signals <- syscall.SIGTERM
 		Eventually(i.ready).WithTimeout(time.Second).Should(BeFalse())
-		// The balancer may still send some.
+		// The load balancer may still send new connections.
 		_, got := i.ask("once")
 		Expect(got.Status).To(Equal(http.StatusOK))
 		Expect(<-done).To(SatisfyAll(HaveField("Body", events(id, 8)), HaveField("Whole", true)))
--- a/cmd/cobaltcroftd/gateway/limits_test.go
+++ b/cmd/cobaltcroftd/gateway/limits_test.go
@@ -15,13 +15,14 @@
 
 var _ = Describe("limits that endpoints name for all instances together", func() {
 	const (
-		// limit is what endpoints take here, in requests a second.
+		// limit is the rate limit of the endpoints in requests per second.
 		limit = 1
-		// span is over how long the users count, and most what they allow in it.
-		span = 4 * time.Second
-		most = 1.5*limit*4 + 5
-		// heard is how long after the first answer that names it a limit is to be heeded.
-		heard = 2 * time.Second
+		// window is the time over which requests are counted, most the number allowed in it.
+		window = 4 * time.Second
+		most   = 1.5*limit*4 + 5
+		// propagationBound is how long a limit may take to be enforced after the first response
+		// that states it.
+		propagationBound = 2 * time.Second
 	)
 	kinds := []string{"once", "repeat", "stream", "fixed", "staged", "staged"}
 	var (
@@ -35,7 +36,7 @@
 		instances = []*instance{first, start(d.Address(), first.Peers), start(d.Address(), first.Peers)}
 	})
 
-	// ask sends requests of some kinds to all instances again and again until a time, and returns how they were answered.
+	// ask sends requests to all instances until the given time and returns the statuses.
 	ask := func(until time.Time, kinds ...string) (statuses []int) {
 		var mu sync.Mutex
 		var group sync.WaitGroup
@@ -54,12 +55,12 @@
 		return statuses
 	}
 
-	// limitAll gives engines their limit, and returns when it is to be heeded.
+	// limitAll sets the limit on engines and returns when it must be enforced.
 	limitAll := func(engines []*platformtest.Engine) time.Time {
 		for _, e := range engines {
 			e.LimitTo(limit)
 		}
-		return time.Now().Add(heard)
+		return time.Now().Add(propagationBound)
 	}
 
 	It("are heeded by calls of all kinds, and the others serve what comes", func() {
@@ -68,10 +69,10 @@
 			limited = append(limited, d.Of(service)[0])
 		}
 		from := limitAll(limited)
-		Expect(ask(from.Add(span+time.Second), kinds...)).To(HaveEach(http.StatusOK))
+		Expect(ask(from.Add(window+time.Second), kinds...)).To(HaveEach(http.StatusOK))
 		for _, e := range limited {
 			Expect(e.LimitsTold()).NotTo(BeZero(), e.Service)
-			Expect(e.MostCalls(span, from)).To(BeNumerically("<=", most), e.Service)
+			Expect(e.MostCalls(window, from)).To(BeNumerically("<=", most), e.Service)
 		}
 	})
 
@@ -80,12 +81,12 @@
 		ask(from, "once")
 		By("waiting until instances that have just started know each other, and grant")
 		Eventually(func() []int { return ask(time.Now().Add(100*time.Millisecond), "once") }).Should(ContainElement(http.StatusOK))
-		statuses := ask(time.Now().Add(span+time.Second), "once")
+		statuses := ask(time.Now().Add(window+time.Second), "once")
 		for _, e := range d.Of("simple") {
-			Expect(e.MostCalls(span, from)).To(BeNumerically("<=", most))
+			Expect(e.MostCalls(window, from)).To(BeNumerically("<=", most))
 		}
 		served := len(slices.DeleteFunc(slices.Clone(statuses), func(status int) bool { return status != http.StatusOK }))
-		Expect(served).To(BeNumerically(">=", 2*limit*int(span.Seconds())/2), "half of what the limits allow")
+		Expect(served).To(BeNumerically(">=", 2*limit*int(window.Seconds())/2), "half of what the limits allow")
 		Expect(slices.Compact(slices.Sorted(slices.Values(statuses)))).To(Equal([]int{http.StatusOK, http.StatusServiceUnavailable}))
 		began := time.Now()
 		Eventually(func() int {
--- a/cmd/cobaltcroftd/gateway/lives_test.go
+++ b/cmd/cobaltcroftd/gateway/lives_test.go
@@ -23,7 +23,7 @@
 		}
 		Expect(send(i.request(http.MethodPost, "once", newID(), fatal)).Status).To(Equal(http.StatusBadGateway))
 		for range 5 {
-			// It is left out for longer each time, up to five seconds.
+			// The endpoint is excluded for increasing periods of up to five seconds.
 			ask()
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -68,8 +68,8 @@
 			}
 			Expect(arrived()).To(Equal(before))
 			Expect(i.ready()).To(BeTrue())
-			// It is used again when its entry is written well: the other one leaves, so that no choice by
-			// speed keeps requests from it.
+			// The endpoint is used again once its entry is valid. The other one leaves, so that
+			// load balancing cannot avoid this one.
 			d.Store.Put("servers/"+e.ID, e.Entry("ready"))
 			other := d.Of("simple")[1]
 			d.Store.Put("servers/"+other.ID, other.Entry("draining"))
--- a/cmd/cobaltcroftd/gateway/notices_test.go
+++ b/cmd/cobaltcroftd/gateway/notices_test.go
@@ -12,35 +12,24 @@
 	"github.com/cobaltcroft/cobaltcroft/platform/platformtest"
 )
 
-// Users saw two things. Requests reached an endpoint 6 and 12 seconds after an answer, passed on by the same
-// instance, had said that the endpoint leaves. And endpoints that had turned an instance away and asked it for
-// three seconds of rest got four more requests from it in that time, each turned away again, though thirteen of
-// eighteen endpoints took all that came: over a tenth of the requests of two routes were refused.
-//
-// The order of events: an endpoint says that it leaves in the store, which is silent for thirteen seconds, and
-// in its answers; nobody reads the answers, and each choice goes on by the last entry. An overloaded endpoint
-// answers 503 with Retry-After; it is left out for a tenth of a second and then chosen as before, and is the
-// only one that the request may go to.
-//
-// The evidence: requests stopped within a second of the store's acknowledgement and not before; no two requests
-// to an endpoint that had turned one away were less than a tenth of a second apart, and none waited for what it
-// had asked; no line of the program read either header.
+// Guards against ignoring notices in responses: calls to endpoints that have announced to leave
+// while the store is down, and calls to endpoints that have asked for a backoff with Retry-After.
 var _ = Describe("what endpoints say in their answers", func() {
 	const (
-		// leaveBound is how long after it was told an endpoint that leaves may still get work.
+		// leaveBound is how long a leaving endpoint may still receive work.
 		leaveBound = 2 * time.Second
-		// rest is what endpoints ask for here.
+		// rest is the requested backoff.
 		rest = 2 * time.Second
 	)
-	// kinds are the routes of requests that traffic consists of: enough to reach both endpoints of each service.
+	// kinds are the routes of the traffic, enough to reach both endpoints of each service.
 	kinds := []string{"once", "once", "repeat", "repeat", "stream", "fixed", "staged", "staged", "staged"}
 	services := []string{"simple", "model", "first", "second", "third"}
 	var d *platformtest.Deployment
 
 	BeforeEach(func() { d = deploy(2) })
 
-	// firsts are the first endpoints of all services.
-	firsts := func() []*platformtest.Engine {
+	// firstEndpoints returns the first endpoint of each service.
+	firstEndpoints := func() []*platformtest.Engine {
 		var list []*platformtest.Engine
 		for _, service := range services {
 			list = append(list, d.Of(service)[0])
@@ -56,7 +45,7 @@
 		return n
 	}
 
-	// reached sends traffic until each of the endpoints has got a request or piece.
+	// reached sends traffic until each endpoint has received work.
 	reached := func(i *instance, engines []*platformtest.Engine) {
 		GinkgoHelper()
 		for _, e := range engines {
@@ -65,8 +54,8 @@
 		}
 	}
 
-	// leave has an endpoint leave, and sends traffic until an answer has said so: that to a free of results
-	// will do.
+	// leave makes an endpoint leave and sends traffic until a response has announced it. A response
+	// to a free of results counts.
 	leave := func(i *instance, e *platformtest.Engine) {
 		GinkgoHelper()
 		e.Leave()
@@ -77,21 +66,21 @@
 		i := start(d.Address())
 		reached(i, d.Engines)
 		d.Store.SetFault(platformtest.StoreSilent)
-		for _, e := range firsts() {
+		for _, e := range firstEndpoints() {
 			leave(i, e)
 		}
 		Eventually(func() int {
-			before := arrived(firsts())
+			before := arrived(firstEndpoints())
 			traffic(i, kinds...)
-			return arrived(firsts()) - before
+			return arrived(firstEndpoints()) - before
 		}).WithTimeout(leaveBound).Should(BeZero())
-		before := arrived(firsts())
+		before := arrived(firstEndpoints())
 		for range 10 {
 			Expect(traffic(i, kinds...)).To(HaveEach(http.StatusOK))
 		}
 		By("entries that still call them ready")
 		d.Store.SetFault(platformtest.StoreWell)
-		for _, e := range firsts() {
+		for _, e := range firstEndpoints() {
 			entry := e.Entry("ready")
 			entry["Seq"], entry["Slots"] = 2, 9
 			d.Store.Put("servers/"+e.ID, entry)
@@ -100,7 +89,7 @@
 		for time.Now().Before(until) {
 			Expect(traffic(i, kinds...)).To(HaveEach(http.StatusOK))
 		}
-		Expect(arrived(firsts())).To(Equal(before))
+		Expect(arrived(firstEndpoints())).To(Equal(before))
 	})
 
 	It("that they leave is heeded by instances to which they did not say it, while the store is silent", func() {
@@ -211,21 +200,21 @@
 
 	It("that they want rest is heeded, by calls of all kinds, for as long as they ask", func() {
 		i := start(d.Address())
-		for _, e := range firsts() {
+		for _, e := range firstEndpoints() {
 			e.AskRest(rest)
 		}
-		for _, e := range firsts() {
+		for _, e := range firstEndpoints() {
 			Eventually(func() int { traffic(i, kinds...); return e.RestsAsked() }).ShouldNot(BeZero())
 		}
 		until := time.Now().Add(rest)
 		for time.Now().Before(until) {
 			Expect(traffic(i, kinds...)).To(HaveEach(http.StatusOK))
 		}
-		for _, e := range firsts() {
+		for _, e := range firstEndpoints() {
 			Expect(e.Disturbed()).To(BeZero(), "calls to an endpoint of %s that wants rest", e.Service)
 			e.AskRest(0)
 		}
-		reached(i, firsts())
+		reached(i, firstEndpoints())
 	})
 
 	It("that all of a service want rest has requests refused at once, until the first has had it", func() {
--- a/cmd/cobaltcroftd/gateway/operators.go
+++ b/cmd/cobaltcroftd/gateway/operators.go
@@ -12,9 +12,9 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/quarantine"
 )
 
-// operatorsFace is what the metrics address serves: figures, what endpoints said in their answers, how rollouts
-// stand, and the requests that are refused since they end their endpoints, of which an operator may let one go at all instances.
-func (g *Gateway) operatorsFace() http.Handler {
+// operatorsHandler serves the metrics address: metrics, notices of endpoints, the status of
+// rollouts, and the quarantine, from which operators can release requests.
+func (g *Gateway) operatorsHandler() http.Handler {
 	router := bunrouter.New()
 	router.GET("/quarantine", g.listQuarantine)
 	router.DELETE("/quarantine/:digest", g.clearQuarantine)
@@ -38,7 +38,7 @@
 	return json.NewEncoder(w).Encode(g.quarantine.List())
 }
 
-// clearQuarantine lets a request go. Its ends are taken back, here and wherever this is told.
+// clearQuarantine releases a request at all instances.
 func (g *Gateway) clearQuarantine(w http.ResponseWriter, r bunrouter.Request) error {
 	digest, err := quarantine.ParseDigest(r.Param("digest"))
 	switch {
@@ -46,7 +46,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return nil
 	case !g.quarantine.IsQuarantined(digest):
-		unheld := problem.New(problem.NotFound, "list those that are with GET /quarantine", "no request with digest %s is refused here", digest)
+		unheld := problem.New(problem.NotFound, "list quarantined requests with GET /quarantine", "no request with digest %s is quarantined", digest)
 		http.Error(w, unheld.Error(), http.StatusNotFound)
 		return nil
 	}
--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -15,27 +15,18 @@
 	"github.com/cobaltcroft/cobaltcroft/platform/platformtest"
 )
 
-// Users saw endpoints of one service end one after the other, fifteen in ten seconds, and all that ran
-// there cut off with them. Each time the same request had just begun there: it came again and again,
-// under a new id, at whichever instance, and each instance sent it on to the next endpoint.
-//
-// The order of events: a try ends an endpoint, the client gets 502 and tries elsewhere; the endpoint comes
-// back after some seconds, and the next try finds it. The cause: nothing was kept of a request after its
-// end, neither where it ran nor at the other instances, so that each try was the first.
-//
-// The evidence: at each of 17 endpoints that ended, exactly one call of one route broke off before its first
-// event, a try sent to one endpoint only; the tries came to five of six instances, six of them to one
-// instance, which sent on all six.
+// Guards against a request that crashes one endpoint after another because its attempts, under new
+// IDs and at different instances, are treated as unrelated.
 var _ = Describe("a request that ends the endpoints which run it", func() {
 	const (
 		fatal = "what no endpoint bears"
-		// endpoints of each service, for two routes: more than may end.
+		// endpoints is the number of endpoints per service, enough for two routes.
 		endpoints = 16
-		// mayEnd is how many endpoints one request may end: three until it is known, and three more while
-		// that spreads.
-		mayEnd = 6
-		// spread is how long all instances have to learn of the third end.
-		spread = 3 * time.Second
+		// maxCrashes is the number of endpoints that one request may crash: three until it is
+		// detected, and three more until all instances know.
+		maxCrashes = 6
+		// propagationBound is how long all instances may take to learn of the third crash.
+		propagationBound = 3 * time.Second
 	)
 	var (
 		d         *platformtest.Deployment
@@ -53,7 +44,7 @@
 		}
 	})
 
-	ended := func() int {
+	crashed := func() int {
 		n := 0
 		for _, e := range d.Engines {
 			if e.Ended() {
@@ -63,13 +54,13 @@
 		return n
 	}
 
-	try := func(i *instance, route string) answer {
+	sendFatal := func(i *instance, route string) answer {
 		return send(i.request(http.MethodPost, route, newID(), fatal))
 	}
 
-	// lapse removes the entries of the endpoints that ended: nobody renews them. Before that an instance
-	// that has not met them yet may give a request up after five that it did not reach.
-	lapse := func() {
+	// removeEntries removes the store entries of crashed endpoints. Otherwise an instance may give
+	// up a request after five unreachable endpoints.
+	removeEntries := func() {
 		for _, e := range d.Engines {
 			if e.Ended() {
 				d.Store.Remove("servers/" + e.ID)
@@ -77,28 +68,28 @@
 		}
 	}
 
-	// refusedByAll has a request of a route end endpoints, and checks what becomes of it.
-	refusedByAll := func(route string) {
-		begin := ended()
-		for n := 0; ended() < begin+3; n++ {
-			try(instances[n%len(instances)], route)
+	// expectQuarantined sends a fatal request on a route and checks that all instances refuse it.
+	expectQuarantined := func(route string) {
+		begin := crashed()
+		for n := 0; crashed() < begin+3; n++ {
+			sendFatal(instances[n%len(instances)], route)
 		}
 		Eventually(func() []int {
 			var statuses []int
 			for _, i := range instances {
-				statuses = append(statuses, try(i, route).Status)
+				statuses = append(statuses, sendFatal(i, route).Status)
 			}
 			return statuses
-		}).WithTimeout(spread).Should(HaveEach(http.StatusServiceUnavailable))
-		Expect(ended()).To(BeNumerically("<=", begin+mayEnd))
-		before := ended()
+		}).WithTimeout(propagationBound).Should(HaveEach(http.StatusServiceUnavailable))
+		Expect(crashed()).To(BeNumerically("<=", begin+maxCrashes))
+		before := crashed()
 		for n := range 3 * len(instances) {
-			refused := try(instances[n%len(instances)], route)
+			refused := sendFatal(instances[n%len(instances)], route)
 			Expect(refused.Status).To(Equal(http.StatusServiceUnavailable))
 			Expect(refused.Header.Get("Retry-After")).NotTo(BeEmpty())
 		}
-		Expect(ended()).To(Equal(before))
-		lapse()
+		Expect(crashed()).To(Equal(before))
+		removeEntries()
 		for _, i := range instances {
 			Eventually(func() int {
 				_, proper := i.ask(route)
@@ -111,75 +102,75 @@
 	It("is soon refused by all, as not run", func() {
 		for _, route := range []string{"once", "repeat", "stream", "fixed"} {
 			By("route " + route)
-			refusedByAll(route)
+			expectQuarantined(route)
 		}
 	})
 
 	It("is refused by an instance that starts later, which learns of it from the others", func() {
-		for n := 0; try(instances[n%len(instances)], "stream").Status != http.StatusServiceUnavailable; n++ {
-			Expect(ended()).To(BeNumerically("<=", mayEnd))
+		for n := 0; sendFatal(instances[n%len(instances)], "stream").Status != http.StatusServiceUnavailable; n++ {
+			Expect(crashed()).To(BeNumerically("<=", maxCrashes))
 		}
-		before := ended()
+		before := crashed()
 		newcomer := start(d.Address(), instances[1].Peers)
-		Eventually(func() string { return metric(newcomer, "cobaltcroft_quarantined_requests") }).WithTimeout(spread).Should(Equal("1"))
-		Expect(try(newcomer, "stream").Status).To(Equal(http.StatusServiceUnavailable))
-		Expect(ended()).To(Equal(before))
+		Eventually(func() string { return metric(newcomer, "cobaltcroft_quarantined_requests") }).WithTimeout(propagationBound).Should(Equal("1"))
+		Expect(sendFatal(newcomer, "stream").Status).To(Equal(http.StatusServiceUnavailable))
+		Expect(crashed()).To(Equal(before))
 	})
 
 	It("is refused by instances that hear nothing of each other, each of which sends it once by itself", func() {
 		alone := []*instance{start(d.Address()), start(d.Address()), start(d.Address()), start(d.Address())}
 		kept := d.Store.Calls("/cobaltcroft/kv-txn")
 		for n, i := range alone[:3] {
-			Expect(try(i, "fixed").Status).To(Equal(http.StatusBadGateway))
+			Expect(sendFatal(i, "fixed").Status).To(Equal(http.StatusBadGateway))
 			Eventually(func() int { return d.Store.Calls("/cobaltcroft/kv-txn") - kept }).Should(Equal(n + 1))
 		}
 		for _, i := range alone[:3] {
-			Expect(try(i, "fixed").Status).To(Equal(http.StatusServiceUnavailable))
+			Expect(sendFatal(i, "fixed").Status).To(Equal(http.StatusServiceUnavailable))
 		}
-		Expect(try(alone[3], "fixed").Status).To(Equal(http.StatusBadGateway), "it can't know")
-		Expect(try(alone[3], "fixed").Status).To(Equal(http.StatusServiceUnavailable))
-		Expect(ended()).To(Equal(4))
+		Expect(sendFatal(alone[3], "fixed").Status).To(Equal(http.StatusBadGateway), "it can't know")
+		Expect(sendFatal(alone[3], "fixed").Status).To(Equal(http.StatusServiceUnavailable))
+		Expect(crashed()).To(Equal(4))
 	})
 
 	It("is sent once more at most when all instances have started anew", func() {
-		for n := 0; try(instances[n%len(instances)], "stream").Status != http.StatusServiceUnavailable; n++ {
-			Expect(ended()).To(BeNumerically("<=", mayEnd))
+		for n := 0; sendFatal(instances[n%len(instances)], "stream").Status != http.StatusServiceUnavailable; n++ {
+			Expect(crashed()).To(BeNumerically("<=", maxCrashes))
 		}
 		Eventually(func() int { return d.Store.Calls("/cobaltcroft/kv-txn") }).Should(BeNumerically(">=", 1))
 		for _, i := range instances {
 			i.kill()
 		}
-		before := ended()
+		before := crashed()
 		anew := start(d.Address())
-		Eventually(func() int { return try(anew, "stream").Status }).Should(Equal(http.StatusServiceUnavailable))
-		Expect(ended()).To(BeNumerically("<=", before+1))
+		Eventually(func() int { return sendFatal(anew, "stream").Status }).Should(Equal(http.StatusServiceUnavailable))
+		Expect(crashed()).To(BeNumerically("<=", before+1))
 	})
 
 	It("is listed for operators, who let it go at all instances when its endpoints bear it", func() {
-		for n := 0; try(instances[n%len(instances)], "stream").Status != http.StatusServiceUnavailable; n++ {
-			Expect(ended()).To(BeNumerically("<=", mayEnd))
+		for n := 0; sendFatal(instances[n%len(instances)], "stream").Status != http.StatusServiceUnavailable; n++ {
+			Expect(crashed()).To(BeNumerically("<=", maxCrashes))
 		}
-		lapse()
+		removeEntries()
 		var list []quarantine.QuarantinedRequest
-		status, body := operate(instances[0], http.MethodGet, "/quarantine")
+		status, body := callOperators(instances[0], http.MethodGet, "/quarantine")
 		Expect(status).To(Equal(http.StatusOK))
 		Expect(json.Unmarshal([]byte(body), &list)).To(Succeed())
-		Expect(list).To(HaveExactElements(HaveField("Endpoints", HaveLen(ended()))))
+		Expect(list).To(HaveExactElements(HaveField("Endpoints", HaveLen(crashed()))))
 		for _, e := range d.Engines {
 			e.EndOn("", nil)
 		}
-		status, _ = operate(instances[0], http.MethodDelete, "/quarantine/"+list[0].Digest)
+		status, _ = callOperators(instances[0], http.MethodDelete, "/quarantine/"+list[0].Digest)
 		Expect(status).To(Equal(http.StatusNoContent))
 		for _, i := range instances {
-			Eventually(func() int { return try(i, "stream").Status }).Should(Equal(http.StatusOK))
+			Eventually(func() int { return sendFatal(i, "stream").Status }).Should(Equal(http.StatusOK))
 		}
-		status, body = operate(instances[0], http.MethodGet, "/quarantine")
+		status, body = callOperators(instances[0], http.MethodGet, "/quarantine")
 		Expect(status).To(Equal(http.StatusOK))
 		Expect(body).To(MatchJSON("[]"))
 	})
 
 	DescribeTable("can't be let go by an operator who names none", func(digest string, status int) {
-		got, body := operate(instances[0], http.MethodDelete, "/quarantine/"+digest)
+		got, body := callOperators(instances[0], http.MethodDelete, "/quarantine/"+digest)
 		Expect(got).To(Equal(status))
 		Expect(body).To(ContainSubstring("remedy"))
 	},
@@ -197,7 +188,7 @@
 		}
 		i := instances[0]
 		for staged(i).Status != http.StatusServiceUnavailable {
-			Expect(ended()).To(BeNumerically("<=", mayEnd))
+			Expect(crashed()).To(BeNumerically("<=", maxCrashes))
 		}
 		made := func() int {
 			n := 0
@@ -225,15 +216,15 @@
 				Expect(got).To(SatisfyAll(HaveField("Status", http.StatusOK), HaveField("Body", events(id, 8)), HaveField("Whole", true)))
 			})
 		}
-		for try(i, "stream").Status != http.StatusServiceUnavailable {
-			Expect(ended()).To(BeNumerically("<=", mayEnd))
+		for sendFatal(i, "stream").Status != http.StatusServiceUnavailable {
+			Expect(crashed()).To(BeNumerically("<=", maxCrashes))
 		}
 		proper.Wait()
 		Expect(metric(i, "cobaltcroft_quarantined_requests")).To(Equal("1"))
 	})
 })
 
-// Answers are lost, broken off or spoiled without any endpoint ending.
+// Responses are lost, interrupted or corrupted without a crash.
 var _ = Describe("a request whose answers are lost again and again", func() {
 	DescribeTable("is not taken for one that ends its endpoints",
 		func(fault platformtest.Fault) {
@@ -280,8 +271,8 @@
 	})
 })
 
-// operate makes a call at an instance's address for operators.
-func operate(i *instance, method, path string) (status int, body string) {
+// callOperators calls an instance's operator API.
+func callOperators(i *instance, method, path string) (status int, body string) {
 	r, err := http.NewRequest(method, "http://"+i.Metrics+path, nil)
 	Expect(err).NotTo(HaveOccurred())
 	response, err := http.DefaultClient.Do(r)
@@ -292,9 +283,9 @@
 	return response.StatusCode, string(data)
 }
 
-// metric returns a figure of an instance's metrics.
+// metric returns the value of a metric of an instance.
 func metric(i *instance, name string) string {
-	_, text := operate(i, http.MethodGet, "/metrics")
+	_, text := callOperators(i, http.MethodGet, "/metrics")
 	for line := range strings.Lines(text) {
 		if value, found := strings.CutPrefix(line, name+" "); found {
 			return strings.TrimSpace(value)
--- a/cmd/cobaltcroftd/gateway/regions_test.go
+++ b/cmd/cobaltcroftd/gateway/regions_test.go
@@ -15,7 +15,7 @@
 	kinds := []string{"once", "repeat", "stream", "fixed", "staged"}
 	var d *platformtest.Deployment
 
-	// limit has all routes served in some regions only, and the organisation in others.
+	// limit restricts all routes and the organisation to the given regions.
 	limit := func(routes, organisation []string) {
 		for i := range d.Config.Routes {
 			d.Config.Routes[i].AllowedRegions = routes
@@ -36,7 +36,7 @@
 	BeforeEach(func() {
 		d = deploy(2)
 		for _, s := range platformtest.Kinds() {
-			s.Zone = away
+			s.Zone = remoteDomain
 			for range 2 {
 				_, err := d.Add(s)
 				Expect(err).NotTo(HaveOccurred())
@@ -57,10 +57,10 @@
 			}
 			Expect(reached(forbidden)).To(BeZero())
 		},
-		Entry("a route's, elsewhere", []string{"region-b"}, nil, home),
-		Entry("a route's, here", []string{"region-a", "region-c"}, nil, away),
-		Entry("an organisation's", nil, []string{"region-b"}, home),
-		Entry("an organisation's of a route's", []string{"region-a", "region-b"}, []string{"region-b", "region-c"}, home),
+		Entry("a route's, elsewhere", []string{"region-b"}, nil, localDomain),
+		Entry("a route's, here", []string{"region-a", "region-c"}, nil, remoteDomain),
+		Entry("an organisation's", nil, []string{"region-b"}, localDomain),
+		Entry("an organisation's of a route's", []string{"region-a", "region-b"}, []string{"region-b", "region-c"}, localDomain),
 	)
 
 	It("are refused at once, as not run, where no allowed region can serve them", func() {
@@ -69,6 +69,6 @@
 		begin := time.Now()
 		Expect(traffic(i, kinds...)).To(HaveEach(http.StatusServiceUnavailable))
 		Expect(time.Since(begin)).To(BeNumerically("<", time.Second), "the deadline is 5 s")
-		Expect(reached(home) + reached(away)).To(BeZero())
+		Expect(reached(localDomain) + reached(remoteDomain)).To(BeZero())
 	})
 })
--- a/cmd/cobaltcroftd/gateway/rollout_test.go
+++ b/cmd/cobaltcroftd/gateway/rollout_test.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// rolloutOver is the time of an order, in seconds.
-	rolloutOver = 6.0
-	// canaryShare and canarySlack bound what a bad version may get of all requests.
+	// rolloutSeconds is the duration of a rollout order.
+	rolloutSeconds = 6.0
+	// canaryShare and canarySlack limit the requests to a bad version.
 	canaryShare = 0.1
 	canarySlack = 50
-	// rollbackBound is how long after its fiftieth bad answer a bad version may still get requests.
+	// rollbackBound is how long a bad version may receive requests after its fiftieth bad answer.
 	rollbackBound = 5 * time.Second
-	// clientsEach is how many clients send requests to each instance, one after the other.
-	clientsEach = 6
+	// clientsPerInstance is the number of clients per instance; each sends requests sequentially.
+	clientsPerInstance = 6
 )
 
-// listed is what an instance lists for operators.
-func (i *instance) listed(what string) string {
+// operatorsList returns a list from the instance's operator API.
+func (i *instance) operatorsList(what string) string {
 	response, err := http.Get("http://" + i.Metrics + "/" + what)
 	Expect(err).NotTo(HaveOccurred())
 	defer response.Body.Close()
@@ -34,17 +34,17 @@
 	return string(body)
 }
 
-// rolled is a deployment in which versions are replaced under traffic.
-type rolled struct {
+// rolloutDeployment is a deployment with traffic whose versions are replaced.
+type rolloutDeployment struct {
 	*platformtest.Deployment
 	instances []*instance
 	stop      chan struct{}
 	clients   sync.WaitGroup
 }
 
-// roll starts instances before so many old endpoints, and clients.
-func roll(instances int) *rolled {
-	d := &rolled{Deployment: deploy(0), stop: make(chan struct{})}
+// deployRollout starts instances, three old endpoints, and clients.
+func deployRollout(instances int) *rolloutDeployment {
+	d := &rolloutDeployment{Deployment: deploy(0), stop: make(chan struct{})}
 	for range 3 {
 		d.add("v1")
 	}
@@ -57,7 +57,7 @@
 	for _, i := range d.instances {
 		d.send(i)
 	}
-	// An instance that has just started watches for orders only some time later.
+	// An instance starts watching for orders some time after its start.
 	watches := d.Store.Calls("/cobaltcroft/kv-watch")
 	Eventually(func() int { return d.Store.Calls("/cobaltcroft/kv-watch") }).Should(BeNumerically(">=", watches+4*instances))
 	DeferCleanup(func() {
@@ -68,15 +68,15 @@
 }
 
 // add starts an endpoint of a version.
-func (d *rolled) add(version string) *platformtest.Engine {
+func (d *rolloutDeployment) add(version string) *platformtest.Engine {
 	e, err := d.Add(platformtest.Settings{Kind: platformtest.Simple, Service: "simple", Version: version, Work: 8 * time.Millisecond})
 	Expect(err).NotTo(HaveOccurred())
 	return e
 }
 
-// send has clients send requests to an instance, those that may be repeated and those that may not.
-func (d *rolled) send(i *instance) {
-	for n := range clientsEach {
+// send starts clients that send repeatable and non-repeatable requests to an instance.
+func (d *rolloutDeployment) send(i *instance) {
+	for n := range clientsPerInstance {
 		route := []string{"once", "repeat"}[n%2]
 		d.clients.Go(func() {
 			defer GinkgoRecover()
@@ -92,9 +92,9 @@
 	}
 }
 
-// order gives an order to move the traffic to a version, whose endpoints are started beside the others.
-func (d *rolled) order(version string, newEndpoints int, with func(*platformtest.Engine)) []*platformtest.Engine {
-	d.Store.Put("op/rollout/simple", map[string]any{"Service": "simple", "TargetVersion": version, "OverS": rolloutOver})
+// order orders a rollout and starts endpoints of the new version.
+func (d *rolloutDeployment) order(version string, newEndpoints int, with func(*platformtest.Engine)) []*platformtest.Engine {
+	d.Store.Put("op/rollout/simple", map[string]any{"Service": "simple", "TargetVersion": version, "OverS": rolloutSeconds})
 	var engines []*platformtest.Engine
 	for range newEndpoints {
 		e := d.add(version)
@@ -104,20 +104,20 @@
 	return engines
 }
 
-// told is what the operator is told.
-type told struct {
+// rolloutRecord is the record shown to operators.
+type rolloutRecord struct {
 	State         string
 	TargetVersion string
 }
 
-func (d *rolled) told() told {
-	var t told
+func (d *rolloutDeployment) readRecord() rolloutRecord {
+	var t rolloutRecord
 	d.Store.Get("status/rollout/simple", &t)
 	return t
 }
 
-// arrivals are how many requests came to endpoints of a version, and to all.
-func (d *rolled) arrivals(version string) (of, all int) {
+// arrivals returns the number of requests received by a version, and in total.
+func (d *rolloutDeployment) arrivals(version string) (of, all int) {
 	for _, e := range d.Of("simple") {
 		all += e.Arrived()
 		if e.Settings().Version == version {
@@ -127,9 +127,9 @@
 	return of, all
 }
 
-// quiet waits until no request comes to a version for some time, as all instances are to see to in time, and returns
-// how many had come.
-func (d *rolled) quiet(version string) int {
+// awaitQuiet waits until a version no longer receives requests and returns how many it has
+// received.
+func (d *rolloutDeployment) awaitQuiet(version string) int {
 	arrived := func() int { of, _ := d.arrivals(version); return of }
 	last, since := arrived(), time.Now()
 	Eventually(func() time.Duration {
@@ -141,7 +141,7 @@
 	return last
 }
 
-func (d *rolled) working(version string) int {
+func (d *rolloutDeployment) working(version string) int {
 	n := 0
 	for _, e := range d.Of("simple") {
 		if e.Settings().Version == version {
@@ -155,36 +155,36 @@
 	well := func(*platformtest.Engine) {}
 
 	It("of a good version is completed in time, in steps, and nothing runs at the old endpoints or comes there then", func() {
-		d := roll(3)
+		d := deployRollout(3)
 		begin := time.Now()
 		d.order("v2", 3, well)
-		Eventually(d.told).Should(Equal(told{"running", "v2"}))
+		Eventually(d.readRecord).Should(Equal(rolloutRecord{"running", "v2"}))
 		Consistently(func() float64 { of, all := d.arrivals("v2"); return float64(of) / float64(all) }).
 			WithTimeout(2 * time.Second).Should(BeNumerically("<", canaryShare))
-		Expect(d.instances[0].listed("rollouts")).To(SatisfyAll(ContainSubstring(`"exposure":"tried","share":0.06`), ContainSubstring(`"version":"v2"`)))
-		Eventually(d.told).WithPolling(5 * time.Millisecond).Should(Equal(told{"completed", "v2"}))
+		Expect(d.instances[0].operatorsList("rollouts")).To(SatisfyAll(ContainSubstring(`"exposure":"tried","share":0.06`), ContainSubstring(`"version":"v2"`)))
+		Eventually(d.readRecord).WithPolling(5 * time.Millisecond).Should(Equal(rolloutRecord{"completed", "v2"}))
 		Expect(d.working("v1")).To(BeZero())
-		Expect(time.Since(begin).Seconds()).To(BeNumerically("<", rolloutOver))
+		Expect(time.Since(begin).Seconds()).To(BeNumerically("<", rolloutSeconds))
 		old, _ := d.arrivals("v1")
 		Consistently(func() int { of, _ := d.arrivals("v1"); return of }).WithTimeout(time.Second).Should(Equal(old))
 	})
 
 	DescribeTable("of a bad version is reverted, and the version gets no more than its share",
 		func(bad func(*platformtest.Engine)) {
-			d := roll(3)
+			d := deployRollout(3)
 			_, before := d.arrivals("v2")
-			deadline := time.Now().Add(time.Duration(rolloutOver * float64(time.Second)))
+			deadline := time.Now().Add(time.Duration(rolloutSeconds * float64(time.Second)))
 			d.order("v2", 3, bad)
-			Eventually(d.told).Should(Equal(told{"reverted", "v2"}))
+			Eventually(d.readRecord).Should(Equal(rolloutRecord{"reverted", "v2"}))
 			Expect(time.Now()).To(BeTemporally("<", deadline))
-			got := d.quiet("v2")
+			got := d.awaitQuiet("v2")
 			newcomer := start(d.Address(), d.instances[0].Peers)
 			d.send(newcomer)
 			time.Sleep(time.Until(deadline))
 			of, all := d.arrivals("v2")
 			Expect(float64(of)).To(BeNumerically("<=", canaryShare*float64(all-before)+canarySlack))
 			Expect(of).To(Equal(got))
-			Expect(d.told()).To(Equal(told{"reverted", "v2"}))
+			Expect(d.readRecord()).To(Equal(rolloutRecord{"reverted", "v2"}))
 		},
 		Entry("that fails four answers in ten", func(e *platformtest.Engine) { e.Each(2, platformtest.Fail) }),
 		Entry("that is ten times as slow", func(e *platformtest.Engine) { e.SetTimes(80*time.Millisecond, 0) }),
@@ -194,44 +194,44 @@
 	)
 
 	It("sends nothing to a version while nobody who knows can be asked", func() {
-		d := roll(1)
+		d := deployRollout(1)
 		d.Store.SetFault(platformtest.StoreSilent)
 		Eventually(d.instances[0].ready).Should(BeTrue())
 		d.Store.SetFault(platformtest.StoreWell)
 		d.order("v2", 3, well)
-		Eventually(d.told).Should(Equal(told{"running", "v2"}))
+		Eventually(d.readRecord).Should(Equal(rolloutRecord{"running", "v2"}))
 		d.Store.SetFault(platformtest.StoreSilent)
-		// The record may go unread for three seconds, and what was told before holds for one and a half more.
+		// The record may stay unread for 3 s, and the last instruction is valid for another 1.5 s.
 		time.Sleep(4600 * time.Millisecond)
 		before, _ := d.arrivals("v2")
 		Consistently(func() int { of, _ := d.arrivals("v2"); return of }).WithTimeout(time.Second).Should(Equal(before))
 		d.Store.SetFault(platformtest.StoreWell)
-		Eventually(d.told).WithTimeout(20 * time.Second).Should(Equal(told{"completed", "v2"}))
+		Eventually(d.readRecord).WithTimeout(20 * time.Second).Should(Equal(rolloutRecord{"completed", "v2"}))
 	})
 
 	It("that is taken back is reverted, and its version gets nothing", func() {
-		d := roll(2)
+		d := deployRollout(2)
 		d.order("v2", 3, well)
 		Eventually(func() int { of, _ := d.arrivals("v2"); return of }).ShouldNot(BeZero())
 		d.Store.Remove("op/rollout/simple")
-		Eventually(d.told).Should(Equal(told{"reverted", "v2"}))
-		d.quiet("v2")
+		Eventually(d.readRecord).Should(Equal(rolloutRecord{"reverted", "v2"}))
+		d.awaitQuiet("v2")
 	})
 
 	It("goes on when the instance that conducts it ends", func() {
-		d := roll(3)
+		d := deployRollout(3)
 		d.order("v2", 3, well)
-		Eventually(d.told).Should(Equal(told{"running", "v2"}))
+		Eventually(d.readRecord).Should(Equal(rolloutRecord{"running", "v2"}))
 		for _, i := range d.instances[:2] {
 			i.kill()
 		}
-		Eventually(d.told).WithTimeout(20 * time.Second).Should(Equal(told{"completed", "v2"}))
+		Eventually(d.readRecord).WithTimeout(20 * time.Second).Should(Equal(rolloutRecord{"completed", "v2"}))
 	})
 
 	It("that was completed leaves an instance that starts later ready only when it knows so", func() {
-		d := roll(1)
+		d := deployRollout(1)
 		d.order("v2", 3, well)
-		Eventually(d.told).Should(Equal(told{"completed", "v2"}))
+		Eventually(d.readRecord).Should(Equal(rolloutRecord{"completed", "v2"}))
 		for _, e := range d.Of("simple")[:3] {
 			d.Store.Remove("servers/" + e.ID)
 			e.Close()
@@ -244,10 +244,10 @@
 	})
 
 	It("of a version that fails is passed over by instances of which the first request comes later", func() {
-		d := roll(1)
+		d := deployRollout(1)
 		d.order("v2", 1, func(e *platformtest.Engine) { e.Always(platformtest.Fail) })
-		Eventually(d.told).Should(Equal(told{"reverted", "v2"}))
-		before := d.quiet("v2")
+		Eventually(d.readRecord).Should(Equal(rolloutRecord{"reverted", "v2"}))
+		before := d.awaitQuiet("v2")
 		for range 3 {
 			newcomer := start(d.Address(), d.instances[0].Peers)
 			for range 20 {
--- a/cmd/cobaltcroftd/gateway/rollouts.go
+++ b/cmd/cobaltcroftd/gateway/rollouts.go
@@ -12,22 +12,23 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/rollout"
 )
 
-// rolling is what rollouts know of orders and endpoints.
-type rolling struct{ follower *discovery.Follower }
+// rolloutView is the rollout manager's view of orders and endpoints.
+type rolloutView struct{ follower *discovery.Follower }
 
-var _ rollout.View = rolling{}
+var _ rollout.View = rolloutView{}
 
 // Rollouts implements rollout.View.
-func (r rolling) Rollouts() fleet.Rollouts { return r.follower.View().Rollouts() }
+func (r rolloutView) Rollouts() fleet.Rollouts { return r.follower.View().Rollouts() }
 
 // Versions implements rollout.View.
-func (r rolling) Versions(order fleet.Rollout) (of, others int) {
+func (r rolloutView) Versions(order fleet.Rollout) (of, others int) {
 	return r.follower.View().Fleet.Versions(order)
 }
 
-// lacksVersions tells whether a service has endpoints of none but a version that is withheld, since this instance has
-// not heard yet that it is proven: it would refuse what others serve.
-func (g *Gateway) lacksVersions(view *discovery.View) bool {
+// awaitsInstruction reports whether a service has only endpoints of a version that is still
+// withheld because this instance has not received the first instruction. Other instances may serve
+// it already.
+func (g *Gateway) awaitsInstruction(view *discovery.View) bool {
 	for _, order := range view.Rollouts().Orders {
 		of, others := view.Fleet.Versions(order)
 		withheld := view.Fleet.Standing(order.Revision).Exposure == fleet.Withheld
@@ -38,13 +39,13 @@
 	return false
 }
 
-// listRollouts tells how the rollouts in force stand here.
+// listRollouts serves the status of the rollouts in force.
 func (g *Gateway) listRollouts(w http.ResponseWriter, _ bunrouter.Request) error {
 	w.Header().Set("Content-Type", "application/json")
 	return json.NewEncoder(w).Encode(g.rollouts.List())
 }
 
 // Stand implements rollout.View.
-func (r rolling) Stand(ctx context.Context, standings fleet.Standings) {
+func (r rolloutView) Stand(ctx context.Context, standings fleet.Standings) {
 	r.follower.Stand(ctx, standings)
 }
--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -18,7 +18,7 @@
 
 	BeforeEach(func() { d = deploy(2) })
 
-	// staged sends a request with pieces in a chain of three stages and one beside it.
+	// staged sends a request with three chained stages and an independent one.
 	staged := func(i *instance) (string, answer) {
 		id := newID()
 		return id, send(i.staged(id))
@@ -112,8 +112,7 @@
 	It("of several instances leave in calls of one owner", func() {
 		a := start(d.Address())
 		b := start(d.Address(), a.Peers)
-		// They know each other when both hand over to the same owner; until then each
-		// makes its own calls, which is allowed.
+		// Until the instances know each other each makes its own calls, which is allowed.
 		for _, e := range append(d.Of("first"), d.Of("second")...) {
 			e.SetTimes(60*time.Millisecond, 0)
 		}
--- a/cmd/cobaltcroftd/gateway/stop.go
+++ b/cmd/cobaltcroftd/gateway/stop.go
@@ -10,52 +10,53 @@
 )
 
 const (
-	// balancerTime is how long the balancer may go on sending new connections after
-	// readiness has been withdrawn: two missed questions, a second apart, and slack.
-	balancerTime = 2800 * time.Millisecond
-	// exitSlack is how long before the end of the grace time the process exits.
-	exitSlack = 400 * time.Millisecond
-	// drainPart is the part of the grace time after which requests are refused that no
-	// endpoint works on: they would not be done before its end.
-	drainPart = 0.75
-	// drainPoll is the time between looks at what is still under way.
-	drainPoll = 20 * time.Millisecond
-	// quietTime is how long nothing must be under way before the process exits.
-	quietTime = 300 * time.Millisecond
+	// balancerDelay is how long the load balancer may keep sending new connections after readiness
+	// is withdrawn: two failed checks, one second apart, and a margin.
+	balancerDelay = 2800 * time.Millisecond
+	// exitMargin is the time between the exit and the end of the grace period.
+	exitMargin = 400 * time.Millisecond
+	// drainRatio is the fraction of the grace period after which requests that no endpoint is
+	// working on are refused, because they would not finish.
+	drainRatio = 0.75
+	// drainPollPeriod is the polling period for work in flight.
+	drainPollPeriod = 20 * time.Millisecond
+	// idleTime is how long nothing must be in flight before the process exits.
+	idleTime = 300 * time.Millisecond
 )
 
-// stopState tells whether a planned stop has begun.
+// stopState records whether a graceful shutdown has begun.
 type stopState struct{ flag atomic.Bool }
 
 func (s *stopState) begin()      { s.flag.Store(true) }
 func (s *stopState) begun() bool { return s.flag.Load() }
 
-// stop ends the instance as planned: it withdraws readiness, serves on while the balancer
-// may still send connections, then refuses new requests, and exits when nothing is under
-// way, of other instances' plans either, or the grace time is over. A second signal ends it at once, but for SIGHUP.
+// stop shuts the instance down gracefully: it withdraws readiness, keeps serving while the load
+// balancer may still send connections, then refuses new requests, and exits when nothing is in
+// flight, including plans of other instances, or the grace period ends. A second signal other than
+// SIGHUP ends it at once.
 func (g *Gateway) stop(signal os.Signal, signals <-chan os.Signal) {
 	begin := g.clock.Now()
-	g.log.WithFields(logrus.Fields{"event": "stopping", "signal": signal.String(), "in_flight": g.face.InFlight()}).Info()
+	g.log.WithFields(logrus.Fields{"event": "stopping", "signal": signal.String(), "in_flight": g.ingress.InFlight()}).Info()
 	g.stopping.begin()
 	g.group.Leave()
-	g.face.Leave()
-	end := begin.Add(g.settings.StopGrace() - exitSlack)
-	drain := begin.Add(time.Duration(drainPart * float64(g.settings.StopGrace())))
-	ticker := g.clock.NewTicker(drainPoll)
+	g.ingress.Leave()
+	end := begin.Add(g.settings.StopGrace() - exitMargin)
+	drain := begin.Add(time.Duration(drainRatio * float64(g.settings.StopGrace())))
+	ticker := g.clock.NewTicker(drainPollPeriod)
 	defer ticker.Stop()
-	quietSince := begin
+	idleSince := begin
 	for now := begin; now.Before(end); now = g.clock.Now() {
-		if now.Sub(begin) >= balancerTime {
-			g.face.Refuse()
+		if now.Sub(begin) >= balancerDelay {
+			g.ingress.Refuse()
 		}
 		if now.After(drain) {
 			g.executor.Drain()
 		}
 		g.router.Leave()
-		if g.face.InFlight() > 0 || g.handler.UnderWay() > 0 {
-			quietSince = now
+		if g.ingress.InFlight() > 0 || g.handler.UnderWay() > 0 {
+			idleSince = now
 		}
-		if now.Sub(begin) >= balancerTime+quietTime && now.Sub(quietSince) >= quietTime {
+		if now.Sub(begin) >= balancerDelay+idleTime && now.Sub(idleSince) >= idleTime {
 			break
 		}
 		select {
@@ -66,13 +67,13 @@
 			}
 		}
 	}
-	g.log.WithFields(logrus.Fields{"event": "stopped", "in_flight": g.face.InFlight(), "ms": g.clock.Since(begin).Milliseconds()}).Info()
+	g.log.WithFields(logrus.Fields{"event": "stopped", "in_flight": g.ingress.InFlight(), "ms": g.clock.Since(begin).Milliseconds()}).Info()
 	g.close()
 }
 
 func (g *Gateway) close() {
 	g.tomb.Kill(nil)
-	g.face.Close()
+	g.ingress.Close()
 	_ = g.listeners.peers.Close()
 	g.server.Close()
 	g.client.Close()
--- a/cmd/cobaltcroftd/gateway/suite_test.go
+++ b/cmd/cobaltcroftd/gateway/suite_test.go
@@ -39,8 +39,7 @@
 	path    string
 }
 
-// start starts an instance with the store at an address, and waits until it is ready unless
-// the store is not to be reached.
+// start starts an instance that uses the given store, and waits until it is ready.
 func start(store string, peers ...string) *instance {
 	i := launch(store, peers...)
 	Eventually(i.ready).Should(BeTrue())
@@ -73,7 +72,7 @@
 	return i
 }
 
-// kill ends the instance at once.
+// kill stops the instance immediately.
 func (i *instance) kill() {
 	select {
 	case i.signals <- syscall.SIGTERM:
@@ -95,12 +94,12 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// answer is what a client got.
+// answer is the response received by a client.
 type answer struct {
 	Status int
 	Header http.Header
 	Body   string
-	// Whole says that the answer ended as it should.
+	// Whole is set if the response is complete.
 	Whole bool
 }
 
@@ -108,7 +107,6 @@
 
 func newID() string { return fmt.Sprintf("request-%d", requestNumber.Add(1)) }
 
-// request returns a client's request for a route.
 func (i *instance) request(method, route, id, body string) *http.Request {
 	r, err := http.NewRequest(method, "http://"+i.Requests+"/"+route+"/x", strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -119,7 +117,7 @@
 	return r
 }
 
-// get returns what the operators' face of the instance serves at a path.
+// get returns the response of the instance's operator API for a path.
 func (i *instance) get(path string) string {
 	response, err := http.Get("http://" + i.Metrics + path)
 	Expect(err).NotTo(HaveOccurred())
@@ -129,7 +127,7 @@
 	return string(body)
 }
 
-// staged returns a client's request with pieces in a chain of three stages and one beside it.
+// staged returns a request with three chained stages and an independent one.
 func (i *instance) staged(id string) *http.Request {
 	r := i.request(http.MethodPost, "staged", id, "")
 	r.Header.Set("Cobaltcroft-Pieces", "1,3,2,2")
@@ -137,7 +135,7 @@
 	return r
 }
 
-// traffic sends a request on each of the routes at once, and returns the statuses.
+// traffic sends concurrent requests, one per route, and returns the statuses.
 func traffic(i *instance, routes ...string) []int {
 	var statuses []int
 	var mu sync.Mutex
@@ -160,7 +158,7 @@
 }
 
 func send(r *http.Request) answer {
-	// A connection for each request, so that nothing is sent again by the client.
+	// Without keep-alive the client never retries a request.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(r)
 	if err != nil {
@@ -171,13 +169,13 @@
 	return answer{Status: response.StatusCode, Header: response.Header, Body: string(body), Whole: err == nil}
 }
 
-// ask sends a request of a route and returns its id and answer.
+// ask sends a request on a route.
 func (i *instance) ask(route string) (string, answer) {
 	id := newID()
 	return id, send(i.request(http.MethodPost, route, id, "the body"))
 }
 
-// events is what a client gets of a whole stream.
+// events returns the body of a complete stream.
 func events(id string, n int) string {
 	var b strings.Builder
 	for e := 1; e <= n; e++ {
@@ -186,7 +184,7 @@
 	return b.String()
 }
 
-// deploy starts a deployment with so many engines of each service.
+// deploy starts a deployment with the given number of engines per service.
 func deploy(each int) *platformtest.Deployment {
 	d, err := platformtest.NewDeployment(each)
 	Expect(err).NotTo(HaveOccurred())
@@ -194,16 +192,16 @@
 	return d
 }
 
-// unheard is an address at which nobody answers.
-func unheard() string {
+// unresponsiveAddress returns an address at which nothing answers.
+func unresponsiveAddress() string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	// It is kept bound, so that nobody else gets it, and accepts nothing.
+	// The listener stays open but accepts nothing, so that the port is not reused.
 	DeferCleanup(listener.Close)
 	return listener.Addr().String()
 }
 
-// raw sends bytes on one connection and returns a reader of what comes back.
+// raw sends bytes on a new connection and returns a reader for the reply.
 func (i *instance) raw(bytes string) (net.Conn, *bufio.Reader) {
 	c, err := net.Dial("tcp", i.Requests)
 	Expect(err).NotTo(HaveOccurred())
@@ -214,7 +212,6 @@
 	return c, bufio.NewReader(c)
 }
 
-// withCancel returns the request with a context that the test ends.
 func withCancel(r *http.Request) (*http.Request, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	return r.WithContext(ctx), cancel
--- a/cmd/cobaltcroftd/gateway/supply.go
+++ b/cmd/cobaltcroftd/gateway/supply.go
@@ -7,26 +7,26 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/route"
 )
 
-// counted is how many endpoints there were as of a view.
-type counted struct {
+// cachedSupply is the supply computed for a view.
+type cachedSupply struct {
 	fleet  *fleet.Snapshot
 	table  *route.Table
 	supply ownership.Supply
 }
 
-// supply is how many endpoints the least service has that takes pieces. Every plan asks for it, so it is
-// counted once for each view.
+// supply returns the endpoint count of the batching service that has the fewest. It is cached per
+// view because every plan needs it.
 func (g *Gateway) supply() ownership.Supply {
 	view := g.follower.View()
-	if last := g.counted.Load(); last != nil && last.fleet == view.Fleet && last.table == view.Table {
+	if last := g.supplyCache.Load(); last != nil && last.fleet == view.Fleet && last.table == view.Table {
 		return last.supply
 	}
-	supply := count(view, g.regions)
-	g.counted.Store(&counted{fleet: view.Fleet, table: view.Table, supply: supply})
+	supply := countSupply(view, g.regions)
+	g.supplyCache.Store(&cachedSupply{fleet: view.Fleet, table: view.Table, supply: supply})
 	return supply
 }
 
-func count(view *discovery.View, regions ownership.Regions) ownership.Supply {
+func countSupply(view *discovery.View, regions ownership.Regions) ownership.Supply {
 	supply := ownership.Supply{Regions: map[string]int{}}
 	if view.Table == nil {
 		return supply
--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -8,8 +8,8 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/throttle"
 )
 
-// groupSettings say what this instance tells the others with its heartbeats, and what becomes of what they
-// tell.
+// groupSettings configures what this instance sends in its heartbeats and how it processes those of
+// others.
 func (g *Gateway) groupSettings(self membership.Self) group.Settings {
 	return group.Settings{
 		Self:           self,
@@ -17,37 +17,40 @@
 		Heartbeat:      heartbeat,
 		SuspectAfter:   suspectAfter,
 		Claims:         g.claims,
-		HeardClaims:    g.hearClaims,
+		HeardClaims:    g.receiveClaims,
 		Division:       g.division,
-		HeardDivision:  g.hearDivision,
+		HeardDivision:  g.receiveDivision,
 		Revision:       g.documentRevision,
-		HeardRevision:  g.hearRevision,
+		HeardRevision:  g.receiveRevision,
 		Ends:           g.quarantine.Recent,
 		HeardEnds:      g.quarantine.Merge,
 		Departing:      g.departing,
-		HeardDeparting: g.hearDeparting,
-		Limits:         g.tellLimits,
-		HeardLimits:    g.hearLimits,
+		HeardDeparting: g.receiveDeparting,
+		Limits:         g.recentLimits,
+		HeardLimits:    g.receiveLimits,
 	}
 }
 
-// claims and hearClaims tell and hear who owns which part. Heartbeats begin when all is put
-// together.
-func (g *Gateway) claims() []ownership.Claim          { return g.router.Claims() }
-func (g *Gateway) hearClaims(heard []ownership.Claim) { g.router.HearClaims(heard) }
+// claims and receiveClaims exchange the owners of partitions. Heartbeats start after all components
+// exist.
+func (g *Gateway) claims() []ownership.Claim             { return g.router.Claims() }
+func (g *Gateway) receiveClaims(heard []ownership.Claim) { g.router.HearClaims(heard) }
 
-// division and hearDivision tell and hear into which parts the endpoints are cut.
-func (g *Gateway) division() ownership.Division          { return g.router.Division() }
-func (g *Gateway) hearDivision(heard ownership.Division) { g.router.HearDivision(heard) }
+// division and receiveDivision exchange the partitioning of endpoints.
+func (g *Gateway) division() ownership.Division             { return g.router.Division() }
+func (g *Gateway) receiveDivision(heard ownership.Division) { g.router.HearDivision(heard) }
 
-// documentRevision and hearRevision tell and hear which configuration is in force where.
+// documentRevision and receiveRevision exchange the revision of the configuration in force.
 func (g *Gateway) documentRevision() uint64 { return g.follower.View().Document.Revision }
-func (g *Gateway) hearRevision(r uint64)    { g.follower.Heard(r) }
+func (g *Gateway) receiveRevision(r uint64) { g.follower.Heard(r) }
 
-// departing and hearDeparting tell and hear which endpoints have said that they leave.
-func (g *Gateway) departing(n int) []string     { return g.follower.Departing(n) }
-func (g *Gateway) hearDeparting(lives []string) { g.follower.Depart(discovery.Peer, lives...) }
+// departing and receiveDeparting exchange the endpoints that have announced to leave.
+func (g *Gateway) departing(n int) []string { return g.follower.Departing(n) }
 
-// tellLimits and hearLimits tell and hear which endpoints take only so much from all instances together.
-func (g *Gateway) tellLimits(n int) []throttle.Limit  { return g.limited.Tell(n) }
-func (g *Gateway) hearLimits(limits []throttle.Limit) { g.limited.Hear(limits) }
+func (g *Gateway) receiveDeparting(incarnations []string) {
+	g.follower.Depart(discovery.Peer, incarnations...)
+}
+
+// recentLimits and receiveLimits exchange the rate limits of endpoints.
+func (g *Gateway) recentLimits(n int) []throttle.Limit   { return g.rateLimits.Tell(n) }
+func (g *Gateway) receiveLimits(limits []throttle.Limit) { g.rateLimits.Hear(limits) }
--- a/cmd/cobaltcroftd/gateway/usage.go
+++ b/cmd/cobaltcroftd/gateway/usage.go
@@ -8,20 +8,19 @@
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
 )
 
-// usagePeriod is the time between two lines that tell what came from peers: at 400 instances 40 lines
-// a second over all.
-const usagePeriod = 10 * time.Second
+// usageLogPeriod is the time between two log lines about traffic from peers.
+const usageLogPeriod = 10 * time.Second
 
-// toldUsage is what the last line told. It belongs to the goroutine that sweeps.
-type toldUsage struct {
+// usageSnapshot is the state at the last log line. Only the sweeping goroutine uses it.
+type usageSnapshot struct {
 	at    time.Time
 	bytes map[string]int64
 }
 
-// tellUsage logs, once a period, the bytes that came from peers since the line before, by what they are
-// for: on a large fleet they are most of what the links carry beside requests.
-func (g *Gateway) tellUsage(now time.Time) {
-	if now.Sub(g.told.at) < usagePeriod {
+// logUsage logs the bytes received from peers since the last log line, by purpose. With many
+// instances they are a large part of the network traffic.
+func (g *Gateway) logUsage(now time.Time) {
+	if now.Sub(g.loggedUsage.at) < usageLogPeriod {
 		return
 	}
 	bytes := map[string]int64{}
@@ -32,10 +31,10 @@
 	bytes["heartbeats.sent"], bytes["heartbeats.received"] = int64(sent), int64(received)
 	fields := logrus.Fields{"event": "peer_bytes"}
 	for kind, n := range bytes {
-		if since := n - g.told.bytes[kind]; since > 0 {
+		if since := n - g.loggedUsage.bytes[kind]; since > 0 {
 			fields[kind] = since
 		}
 	}
-	g.told = toldUsage{at: now, bytes: bytes}
+	g.loggedUsage = usageSnapshot{at: now, bytes: bytes}
 	g.log.WithFields(fields).Info()
 }
