--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -105,7 +105,7 @@
 	// quarantine tracks requests that crash their endpoints.
 	quarantine *quarantine.Manager
 	// rollouts moves traffic between versions.
-	rollouts *rollout.Keeper
+	rollouts *rollout.Manager
 	// held accounts for the memory of request and response bodies.
 	held *held.Account
 
@@ -247,7 +247,7 @@
 		Log:      g.logs.For("handover"),
 	})
 	rolloutPeers := &handover.Conducting{Client: g.client, Instance: self, Live: g.group.Live}
-	g.rollouts = rollout.NewKeeper(rolloutView{g.follower}, rolloutPeers, g.store, s.Rollouts.Share, g.clock, g.logs.For("rollout"))
+	g.rollouts = rollout.NewManager(rolloutView{g.follower}, rolloutPeers, g.store, s.Rollouts.Share, g.clock, g.logs.For("rollout"))
 	g.executor = pkggateway.New(pkggateway.Options{
 		View:      g.follower.View,
 		Dialect:   platform.Dialect{},
--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -93,9 +93,9 @@
 	conductPeriod = 3 * time.Second
 )
 
-// Keeper runs this instance's part in all rollouts: it reports, applies instructions, and acts as
+// Manager runs this instance's part in all rollouts: it reports, applies instructions, and acts as
 // conductor where it is responsible. It is safe for concurrent use.
-type Keeper struct {
+type Manager struct {
 	*Participant
 	view    View
 	peers   Peers
@@ -130,9 +130,9 @@
 	record    Record
 }
 
-// NewKeeper returns a Keeper. share limits the fraction of a service's requests for a bad version.
-func NewKeeper(view View, peers Peers, records Records, share float64, clock clockwork.Clock, log *logrus.Entry) *Keeper {
-	return &Keeper{
+// NewManager returns a Keeper. share limits the fraction of a service's requests for a bad version.
+func NewManager(view View, peers Peers, records Records, share float64, clock clockwork.Clock, log *logrus.Entry) *Manager {
+	return &Manager{
 		Participant:  NewParticipant(clock),
 		view:         view,
 		peers:        peers,
@@ -149,7 +149,7 @@
 }
 
 // Run polls until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	ticker := k.clock.NewTicker(pollPeriod)
 	defer ticker.Stop()
 	for {
@@ -163,7 +163,7 @@
 }
 
 // Look sends due reports, advances the conducted rollouts and updates the view.
-func (k *Keeper) Look(ctx context.Context) {
+func (k *Manager) Look(ctx context.Context) {
 	orders := k.view.Rollouts().Orders
 	k.Know(orders)
 	for _, order := range orders {
@@ -182,7 +182,7 @@
 }
 
 // reportIfDue starts a report if it is due.
-func (k *Keeper) reportIfDue(ctx context.Context, order fleet.Rollout) {
+func (k *Manager) reportIfDue(ctx context.Context, order fleet.Rollout) {
 	if k.Ended(order.Revision) {
 		return
 	}
@@ -208,7 +208,7 @@
 
 // sendReport reports to the first conductor that replies. The instruction is valid for the given
 // time from the start of the call.
-func (k *Keeper) sendReport(ctx context.Context, order fleet.Rollout, candidates []Peer, holds time.Duration) {
+func (k *Manager) sendReport(ctx context.Context, order fleet.Rollout, candidates []Peer, holds time.Duration) {
 	r, ok := k.Report(order.Revision)
 	if !ok {
 		return
@@ -235,13 +235,13 @@
 	}
 }
 
-func (k *Keeper) isSkipped(name string) bool {
+func (k *Manager) isSkipped(name string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.clock.Now().Before(k.skippedUntil[name])
 }
 
-func (k *Keeper) queryConductor(ctx context.Context, candidate Peer, r Report) (Instruction, error) {
+func (k *Manager) queryConductor(ctx context.Context, candidate Peer, r Report) (Instruction, error) {
 	if candidate.Name == k.peers.Self().Name {
 		return k.Answer(r), nil
 	}
@@ -251,7 +251,7 @@
 }
 
 // Answer processes a report as conductor. If the order is unknown here, the version is withheld.
-func (k *Keeper) Answer(r Report) Instruction {
+func (k *Manager) Answer(r Report) Instruction {
 	order, ordered := k.view.Rollouts().Of(r.Service)
 	if !ordered || order.Revision != r.Order {
 		return Instruction{}
@@ -271,14 +271,14 @@
 }
 
 // conduct advances all conducted rollouts and starts the accesses to their records.
-func (k *Keeper) conduct(ctx context.Context, orders []fleet.Rollout) {
+func (k *Manager) conduct(ctx context.Context, orders []fleet.Rollout) {
 	for _, c := range k.decideAll(orders) {
 		k.spawn(func() { k.syncRecord(ctx, c) })
 	}
 }
 
 // decideAll advances all conducted rollouts and returns those whose record is due for an access.
-func (k *Keeper) decideAll(orders []fleet.Rollout) []*conductedRollout {
+func (k *Manager) decideAll(orders []fleet.Rollout) []*conductedRollout {
 	now := k.clock.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -307,7 +307,7 @@
 }
 
 // decide advances a rollout and logs the decision.
-func (k *Keeper) decide(now time.Time, c *conductedRollout) {
+func (k *Manager) decide(now time.Time, c *conductedRollout) {
 	seen := Seen{}
 	for _, p := range k.peers.Conductors(c.Order().Service) {
 		seen.Instances = append(seen.Instances, p.Name)
@@ -341,7 +341,7 @@
 }
 
 // syncRecord reads the record of a rollout and updates it if it differs from the decision.
-func (k *Keeper) syncRecord(ctx context.Context, c *conductedRollout) {
+func (k *Manager) syncRecord(ctx context.Context, c *conductedRollout) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	err := k.readAndUpdateRecord(ctx, c)
@@ -353,7 +353,7 @@
 	}
 }
 
-func (k *Keeper) readAndUpdateRecord(ctx context.Context, c *conductedRollout) error {
+func (k *Manager) readAndUpdateRecord(ctx context.Context, c *conductedRollout) error {
 	order, begin := c.Order(), k.clock.Now()
 	record, err := k.records.Read(ctx, order.Service)
 	if err != nil {
@@ -375,7 +375,7 @@
 	return nil
 }
 
-func (k *Keeper) setRecord(c *conductedRollout, at time.Time, record Record) {
+func (k *Manager) setRecord(c *conductedRollout, at time.Time, record Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c.record = record
--- a/pkg/rollout/model_test.go
+++ b/pkg/rollout/model_test.go
@@ -90,7 +90,7 @@
 	*model
 	name        string
 	incarnation uint64
-	keeper      *rollout.Keeper
+	keeper      *rollout.Manager
 	snapshot    *fleet.Snapshot
 	underWay    []inFlightCall
 	// frozen instances make no progress.
@@ -117,7 +117,7 @@
 func (m *model) start(name string, incarnation uint64) *node {
 	i := &node{model: m, name: name, incarnation: incarnation}
 	i.snapshot = fleet.New(1, endpoints("v1", 6)).Roll(fleet.Rollouts{Revision: 4})
-	i.keeper = rollout.NewKeeper(i, i, i, share, m.clock, logging.Discard().For("rollout"))
+	i.keeper = rollout.NewManager(i, i, i, share, m.clock, logging.Discard().For("rollout"))
 	i.keeper.AtOnce()
 	if m.ordered.Known() {
 		i.order()
--- a/pkg/rollout/status.go
+++ b/pkg/rollout/status.go
@@ -25,7 +25,7 @@
 }
 
 // List returns the status of all rollouts in force.
-func (k *Keeper) List() []Listed {
+func (k *Manager) List() []Listed {
 	list := []Listed{}
 	now := k.clock.Now()
 	for _, order := range k.view.Rollouts().Orders {
