--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -13,8 +13,8 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-// ErrOvertaken is returned if another instance has written the record since it was read.
-var ErrOvertaken = errors.New("another instance has written the rollout record since it was read; read it again")
+// ErrConflict is returned if another instance has written the record since it was read.
+var ErrConflict = errors.New("another instance has written the rollout record since it was read; read it again")
 
 // Record is the stored outcome of a service's last rollout, shown to operators.
 type Record struct {
--- a/pkg/rollout/model_test.go
+++ b/pkg/rollout/model_test.go
@@ -73,7 +73,7 @@
 
 func (m *model) write(after uint64, record rollout.Record) error {
 	if m.record.Revision != after {
-		return rollout.ErrOvertaken
+		return rollout.ErrConflict
 	}
 	m.revision++
 	record.Revision = m.revision
