--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -157,13 +157,13 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.Chan():
-			k.Look(ctx)
+			k.Poll(ctx)
 		}
 	}
 }
 
-// Look sends due reports, advances the conducted rollouts and updates the view.
-func (k *Manager) Look(ctx context.Context) {
+// Poll sends due reports, advances the conducted rollouts and updates the view.
+func (k *Manager) Poll(ctx context.Context) {
 	orders := k.view.Rollouts().Orders
 	k.Know(orders)
 	for _, order := range orders {
--- a/pkg/rollout/model_test.go
+++ b/pkg/rollout/model_test.go
@@ -270,7 +270,7 @@
 			return true
 		})
 		if m.clock.Since(m.begun)%(5*tick) == 0 {
-			i.keeper.Look(context.Background())
+			i.keeper.Poll(context.Background())
 		}
 	}
 }
