--- a/cmd/cobaltcroftd/gateway/rollouts.go
+++ b/cmd/cobaltcroftd/gateway/rollouts.go
@@ -45,7 +45,7 @@
 	return json.NewEncoder(w).Encode(g.rollouts.List())
 }
 
-// Stand implements rollout.View.
-func (r rolloutView) Stand(ctx context.Context, standings fleet.Standings) {
+// SetStandings implements rollout.View.
+func (r rolloutView) SetStandings(ctx context.Context, standings fleet.Standings) {
 	r.follower.Stand(ctx, standings)
 }
--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -65,8 +65,8 @@
 	Rollouts() fleet.Rollouts
 	// Versions counts the endpoints of the ordered version and of other versions.
 	Versions(order fleet.Rollout) (of, others int)
-	// Stand applies the standings of the rollouts.
-	Stand(ctx context.Context, standings fleet.Standings)
+	// SetStandings applies the standings of the rollouts.
+	SetStandings(ctx context.Context, standings fleet.Standings)
 }
 
 const (
@@ -171,7 +171,7 @@
 	}
 	k.conduct(ctx, orders)
 	if standings := k.Standings(); !maps.Equal(standings, k.lastStandings) {
-		k.view.Stand(ctx, standings)
+		k.view.SetStandings(ctx, standings)
 		k.lastStandings = standings
 	}
 }
