--- a/cmd/cobaltcroft/cmds/gateways.go
+++ b/cmd/cobaltcroft/cmds/gateways.go
@@ -141,7 +141,7 @@
 
 // Run implements kong's command.
 func (c *rolloutsCommand) Run(g *globals) error {
-	lists, err := fetchAll[rollout.Listed](g, c.Addresses, "/rollouts")
+	lists, err := fetchAll[rollout.Status](g, c.Addresses, "/rollouts")
 	if err != nil {
 		return err
 	}
@@ -163,12 +163,12 @@
 
 // listedAt is how a rollout stands at one gateway.
 type listedAt struct {
-	rollout.Listed
+	rollout.Status
 	gateway string
 }
 
 // byService returns all rollouts, by service, order and gateway.
-func byService(lists map[string][]rollout.Listed) []listedAt {
+func byService(lists map[string][]rollout.Status) []listedAt {
 	var all []listedAt
 	for gateway, list := range lists {
 		for _, l := range list {
--- a/pkg/rollout/status.go
+++ b/pkg/rollout/status.go
@@ -2,8 +2,8 @@
 
 import "github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 
-// Listed is the status of a rollout at one instance.
-type Listed struct {
+// Status is the status of a rollout at one instance.
+type Status struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
 	// Order is the revision of the order; AgeMs is how long this instance has known it, in
@@ -25,11 +25,11 @@
 }
 
 // List returns the status of all rollouts in force.
-func (k *Manager) List() []Listed {
-	list := []Listed{}
+func (k *Manager) List() []Status {
+	list := []Status{}
 	now := k.clock.Now()
 	for _, order := range k.view.Rollouts().Orders {
-		entry := Listed{Service: order.Service, Version: order.Version, Order: order.Revision}
+		entry := Status{Service: order.Service, Version: order.Version, Order: order.Revision}
 		k.Participant.list(&entry)
 		k.mu.Lock()
 		if c := k.conducted[order.Revision]; c != nil && now.Sub(c.reportAt) < conductPeriod {
@@ -43,7 +43,7 @@
 }
 
 // list fills in the instruction known to the participant.
-func (p *Participant) list(entry *Listed) {
+func (p *Participant) list(entry *Status) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
