--- a/pkg/rollout/conductor.go
+++ b/pkg/rollout/conductor.go
@@ -133,8 +133,8 @@
 // Order returns the rollout order.
 func (c *Conductor) Order() fleet.Rollout { return c.order }
 
-// Hear processes a report.
-func (c *Conductor) Hear(now time.Time, r Report) {
+// AddReport processes a report.
+func (c *Conductor) AddReport(now time.Time, r Report) {
 	before, known := c.reports[r.Instance]
 	if known && before.Incarnation > r.Incarnation {
 		return
--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -266,7 +266,7 @@
 		k.log.WithFields(logrus.Fields{"event": "rollout_conducted", "service": order.Service, "version": order.Version, "order": order.Revision}).Info()
 	}
 	c.reportAt = now
-	c.Hear(now, r)
+	c.AddReport(now, r)
 	return c.Instruction(now)
 }
 
--- a/pkg/rollout/tally_bench_test.go
+++ b/pkg/rollout/tally_bench_test.go
@@ -20,7 +20,7 @@
 			tally.Add(sample, true)
 			tally.Add(sample, false)
 		}
-		c.Hear(now, rollout.Report{Instance: fmt.Sprint("i-", n), Tally: tally})
+		c.AddReport(now, rollout.Report{Instance: fmt.Sprint("i-", n), Tally: tally})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
