--- a/pkg/rollout/conductor.go
+++ b/pkg/rollout/conductor.go
@@ -155,9 +155,9 @@
 	c.reports[r.Instance] = receivedReport{Report: r, at: now}
 }
 
-// Recorded processes the content of the record as of the given time; state is empty if the record
+// SetRecorded processes the content of the record as of the given time; state is empty if the record
 // does not cover this order.
-func (c *Conductor) Recorded(at time.Time, state State) {
+func (c *Conductor) SetRecorded(at time.Time, state State) {
 	if at.After(c.recordReadAt) {
 		c.recordReadAt = at
 	}
--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -379,5 +379,5 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c.record = record
-	c.Recorded(at, record.stateOf(c.Order()))
+	c.SetRecorded(at, record.stateOf(c.Order()))
 }
