--- a/pkg/rollout/conductor.go
+++ b/pkg/rollout/conductor.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// Due returns the state the record should have, and whether it must be written.
-func (c *Conductor) Due() (State, bool) {
+// PendingState returns the state the record should have, and whether it must be written.
+func (c *Conductor) PendingState() (State, bool) {
 	switch {
 	case c.recorded.Final():
 		return c.recorded, false
--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -328,7 +328,7 @@
 // recordDue reports whether the record must be read or written now, and if so marks the access as
 // started.
 func (c *conductedRollout) recordDue(now time.Time) bool {
-	state, due := c.Due()
+	state, due := c.PendingState()
 	pause := recordReadPeriod
 	if due {
 		pause = recordWriteRetryDelay
@@ -361,7 +361,7 @@
 	}
 	k.setRecord(c, begin, record)
 	k.mu.Lock()
-	state, due := c.Due()
+	state, due := c.PendingState()
 	k.mu.Unlock()
 	if !due {
 		return nil
