--- a/pkg/rollout/conductor.go
+++ b/pkg/rollout/conductor.go
@@ -199,9 +199,9 @@
 	return sum
 }
 
-// Look evaluates the evidence, advances the rollout if possible, and reports whether anything
+// Advance evaluates the evidence, advances the rollout if possible, and reports whether anything
 // changed.
-func (c *Conductor) Look(now time.Time, seen Seen) bool {
+func (c *Conductor) Advance(now time.Time, seen Seen) bool {
 	if c.recorded.Final() || c.decided == Reverted {
 		return false
 	}
--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -313,7 +313,7 @@
 		seen.Instances = append(seen.Instances, p.Name)
 	}
 	seen.New, seen.Old = k.view.Versions(c.Order())
-	if !c.Look(now, seen) {
+	if !c.Advance(now, seen) {
 		return
 	}
 	i := c.Instruction(now)
