--- a/pkg/rollout/conductor.go
+++ b/pkg/rollout/conductor.go
@@ -232,7 +232,7 @@
 // nextStep returns the next step and whether it is due. The step after stepFull completes the
 // rollout.
 func (c *Conductor) nextStep(now time.Time, seen Seen) (step, bool) {
-	if !c.Confirmed(now) || seen.New == 0 {
+	if !c.RecordFresh(now) || seen.New == 0 {
 		return c.step, false
 	}
 	age := now.Sub(c.orderedAt)
@@ -276,8 +276,8 @@
 	return true
 }
 
-// Confirmed reports whether the record was read recently.
-func (c *Conductor) Confirmed(now time.Time) bool {
+// RecordFresh reports whether the record was read recently.
+func (c *Conductor) RecordFresh(now time.Time) bool {
 	return !c.recordReadAt.IsZero() && now.Sub(c.recordReadAt) <= recordValidFor
 }
 
@@ -290,7 +290,7 @@
 		return Instruction{Exposure: fleet.Refuted, State: Reverted, Recorded: c.recorded == Reverted}
 	case c.decided == Completed:
 		return Instruction{Exposure: fleet.Proven, State: Completed, Step: int(stepFull)}
-	case !c.Confirmed(now) || c.step == stepWaiting:
+	case !c.RecordFresh(now) || c.step == stepWaiting:
 		return Instruction{Exposure: fleet.Withheld, State: Running}
 	case c.step >= stepFull:
 		return Instruction{Exposure: fleet.Proven, State: Running, Step: int(c.step)}
