--- a/pkg/rollout/conductor.go
+++ b/pkg/rollout/conductor.go
@@ -306,8 +306,8 @@
 	return c.schedule.stepShare(int(c.step-stepTrial) - 1)
 }
 
-// Against returns the highest weight of evidence against the version and its measure.
-func (c *Conductor) Against() (float64, string) { return c.evidence.weight() }
+// StrongestEvidence returns the highest weight of evidence against the version and its measure.
+func (c *Conductor) StrongestEvidence() (float64, string) { return c.evidence.weight() }
 
 // Answers returns the number of answers of the new version that were evaluated.
 func (c *Conductor) Answers() int { return c.evidence.Answers() }
--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -317,7 +317,7 @@
 		return
 	}
 	i := c.Instruction(now)
-	weight, of := c.Against()
+	weight, of := c.StrongestEvidence()
 	k.log.WithFields(logrus.Fields{
 		"event": "rollout_step", "service": c.Order().Service, "version": c.Order().Version, "order": c.Order().Revision,
 		"exposure": i.Exposure.String(), "share": i.Share, "decided": string(c.decided), "answers": c.Answers(),
--- a/pkg/rollout/status.go
+++ b/pkg/rollout/status.go
@@ -34,7 +34,7 @@
 		k.mu.Lock()
 		if c := k.conducted[order.Revision]; c != nil && now.Sub(c.reportAt) < conductPeriod {
 			entry.Conducted, entry.Answers = true, c.Answers()
-			entry.Against, entry.Measure = c.Against()
+			entry.Against, entry.Measure = c.StrongestEvidence()
 		}
 		k.mu.Unlock()
 		list = append(list, entry)
