--- a/pkg/rollout/conductor.go
+++ b/pkg/rollout/conductor.go
@@ -90,8 +90,8 @@
 	at time.Time
 }
 
-// Seen is the conductor's input from its environment.
-type Seen struct {
+// Observation is the conductor's input from its environment.
+type Observation struct {
 	// Instances are the names of the live instances.
 	Instances []string
 	// New and Old count the usable endpoints of the ordered version and of other versions.
@@ -201,7 +201,7 @@
 
 // Advance evaluates the evidence, advances the rollout if possible, and reports whether anything
 // changed.
-func (c *Conductor) Advance(now time.Time, seen Seen) bool {
+func (c *Conductor) Advance(now time.Time, seen Observation) bool {
 	if c.recorded.Final() || c.decided == Reverted {
 		return false
 	}
@@ -231,7 +231,7 @@
 
 // nextStep returns the next step and whether it is due. The step after stepFull completes the
 // rollout.
-func (c *Conductor) nextStep(now time.Time, seen Seen) (step, bool) {
+func (c *Conductor) nextStep(now time.Time, seen Observation) (step, bool) {
 	if !c.RecordFresh(now) || seen.New == 0 {
 		return c.step, false
 	}
@@ -260,7 +260,7 @@
 
 // oldDrained reports whether no instance uses the old endpoints any more. If movable is set, calls
 // that can resume elsewhere are ignored.
-func (c *Conductor) oldDrained(now time.Time, seen Seen, movable bool) bool {
+func (c *Conductor) oldDrained(now time.Time, seen Observation, movable bool) bool {
 	for _, name := range seen.Instances {
 		r, known := c.reports[name]
 		switch {
--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -308,7 +308,7 @@
 
 // decide advances a rollout and logs the decision.
 func (k *Manager) decide(now time.Time, c *conductedRollout) {
-	seen := Seen{}
+	seen := Observation{}
 	for _, p := range k.peers.Conductors(c.Order().Service) {
 		seen.Instances = append(seen.Instances, p.Name)
 	}
