--- a/pkg/rollout/conductor.go
+++ b/pkg/rollout/conductor.go
@@ -208,7 +208,7 @@
 	if seen.Old > 0 {
 		c.oldSeenAt = now
 	}
-	c.evidence.Weigh(c.Tally())
+	c.evidence.Update(c.Tally())
 	if c.evidence.Bad() {
 		c.decide(Reverted)
 		return true
--- a/pkg/rollout/evidence.go
+++ b/pkg/rollout/evidence.go
@@ -118,8 +118,8 @@
 	measures map[string]*measureEvidence
 }
 
-// Weigh evaluates a cumulative tally; answers already evaluated are not counted again.
-func (e *Evidence) Weigh(all Tally) {
+// Update evaluates a cumulative tally; answers already evaluated are not counted again.
+func (e *Evidence) Update(all Tally) {
 	if e.measures == nil {
 		e.measures = map[string]*measureEvidence{}
 	}
--- a/pkg/rollout/evidence_test.go
+++ b/pkg/rollout/evidence_test.go
@@ -73,7 +73,7 @@
 			// Reports contain several answers.
 			continue
 		}
-		e.Weigh(all)
+		e.Update(all)
 		if e.Bad() {
 			return outcome{answers: n + 1, bad: bad, suspicious: true}
 		}
