--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -165,7 +165,7 @@
 // Poll sends due reports, advances the conducted rollouts and updates the view.
 func (k *Manager) Poll(ctx context.Context) {
 	orders := k.view.Rollouts().Orders
-	k.Know(orders)
+	k.SetOrders(orders)
 	for _, order := range orders {
 		k.reportIfDue(ctx, order)
 	}
--- a/pkg/rollout/participant.go
+++ b/pkg/rollout/participant.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// Know sets the orders in force and drops all others.
-func (p *Participant) Know(orders []fleet.Rollout) {
+// SetOrders sets the orders in force and drops all others.
+func (p *Participant) SetOrders(orders []fleet.Rollout) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := make(map[uint64]*participation, len(orders))
--- a/pkg/rollout/participant_test.go
+++ b/pkg/rollout/participant_test.go
@@ -26,7 +26,7 @@
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
 		p = rollout.NewParticipant(clock)
-		p.Know([]fleet.Rollout{order})
+		p.SetOrders([]fleet.Rollout{order})
 	})
 
 	It("goes by what it was told for a while, and then withholds the version", func() {
