--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -222,7 +222,7 @@
 		asked := k.clock.Now()
 		instruction, err := k.queryConductor(ctx, candidate, r)
 		if err == nil {
-			k.Told(order.Revision, instruction, asked.Add(holds))
+			k.SetInstruction(order.Revision, instruction, asked.Add(holds))
 			return
 		}
 		k.log.WithFields(logrus.Fields{"event": "conductor_silent", "service": order.Service, "order": order.Revision, "conductor": candidate.Name}).Info(err)
--- a/pkg/rollout/participant.go
+++ b/pkg/rollout/participant.go
@@ -142,8 +142,8 @@
 	return left
 }
 
-// Told applies an instruction of the conductor, valid until the given time.
-func (p *Participant) Told(order uint64, i Instruction, until time.Time) {
+// SetInstruction applies an instruction of the conductor, valid until the given time.
+func (p *Participant) SetInstruction(order uint64, i Instruction, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.participations[order]
--- a/pkg/rollout/participant_test.go
+++ b/pkg/rollout/participant_test.go
@@ -18,7 +18,7 @@
 		p     *rollout.Participant
 	)
 
-	tell := func(i rollout.Instruction) { p.Told(order.Revision, i, clock.Now().Add(time.Second)) }
+	tell := func(i rollout.Instruction) { p.SetInstruction(order.Revision, i, clock.Now().Add(time.Second)) }
 	standing := func() fleet.Standing { return p.Standings()[order.Revision] }
 	tried := rollout.Instruction{Exposure: fleet.Tried, Share: 0.06, State: rollout.Running, Step: 1}
 	proven := rollout.Instruction{Exposure: fleet.Proven, State: rollout.Running, Step: 4}
