--- a/cmd/cobaltcroftd/gateway/rollouts.go
+++ b/cmd/cobaltcroftd/gateway/rollouts.go
@@ -32,7 +32,7 @@
 	for _, order := range view.Rollouts().Orders {
 		of, others := view.Fleet.Versions(order)
 		withheld := view.Fleet.Standing(order.Revision).Exposure == fleet.Withheld
-		if withheld && of > 0 && others == 0 && g.rollouts.Awaits(order) {
+		if withheld && of > 0 && others == 0 && g.rollouts.AwaitsInstruction(order) {
 			return true
 		}
 	}
--- a/pkg/rollout/participant.go
+++ b/pkg/rollout/participant.go
@@ -159,9 +159,9 @@
 // awaitPeriod is how long the first instruction for an order is awaited.
 const awaitPeriod = 5 * time.Second
 
-// Awaits reports whether the first instruction for an order may still arrive. A newly started
+// AwaitsInstruction reports whether the first instruction for an order may still arrive. A newly started
 // instance withholds a version until told that it is proven.
-func (p *Participant) Awaits(order fleet.Rollout) bool {
+func (p *Participant) AwaitsInstruction(order fleet.Rollout) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.participations[order.Revision]
--- a/pkg/rollout/participant_test.go
+++ b/pkg/rollout/participant_test.go
@@ -77,9 +77,9 @@
 	})
 
 	It("waits for word of an order for a while only", func() {
-		Expect(p.Awaits(order)).To(BeTrue())
-		Expect(p.Awaits(fleet.Rollout{Revision: 9})).To(BeTrue(), "it has not looked yet")
+		Expect(p.AwaitsInstruction(order)).To(BeTrue())
+		Expect(p.AwaitsInstruction(fleet.Rollout{Revision: 9})).To(BeTrue(), "it has not looked yet")
 		clock.Advance(5 * time.Second)
-		Expect(p.Awaits(order)).To(BeFalse())
+		Expect(p.AwaitsInstruction(order)).To(BeFalse())
 	})
 })
