--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -183,7 +183,7 @@
 
 // reportIfDue starts a report if it is due.
 func (k *Manager) reportIfDue(ctx context.Context, order fleet.Rollout) {
-	if k.Ended(order.Revision) {
+	if k.Finished(order.Revision) {
 		return
 	}
 	candidates := k.peers.Conductors(order.Service)
--- a/pkg/rollout/participant.go
+++ b/pkg/rollout/participant.go
@@ -190,8 +190,8 @@
 	return standings
 }
 
-// Ended reports whether the final state of an order is recorded and known here.
-func (p *Participant) Ended(order uint64) bool {
+// Finished reports whether the final state of an order is recorded and known here.
+func (p *Participant) Finished(order uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.participations[order]
--- a/pkg/rollout/participant_test.go
+++ b/pkg/rollout/participant_test.go
@@ -44,12 +44,12 @@
 		tell(tried)
 		clock.Advance(time.Hour)
 		Expect(standing().Exposure).To(Equal(fleet.Refuted))
-		Expect(p.Ended(order.Revision)).To(BeFalse(), "operators have not been told")
+		Expect(p.Finished(order.Revision)).To(BeFalse(), "operators have not been told")
 		tell(rollout.Instruction{Exposure: fleet.Proven, State: rollout.Completed, Recorded: true})
 		tell(tried)
 		clock.Advance(time.Hour)
 		Expect(standing().Exposure).To(Equal(fleet.Proven))
-		Expect(p.Ended(order.Revision)).To(BeTrue())
+		Expect(p.Finished(order.Revision)).To(BeTrue())
 	})
 
 	It("tells the step that it was told, also after a conductor that knows of none", func() {
