--- a/pkg/gateway/canary.go
+++ b/pkg/gateway/canary.go
@@ -62,16 +62,16 @@
 // version.
 func (u *run) buildSample(ctx context.Context, outcome attemptResult, status int) *rollout.Sample {
 	o := &u.versionSample
-	s := &rollout.Sample{Route: u.route.Name, Took: u.Clock.Since(o.begin), Pause: o.meanPause()}
+	s := &rollout.Sample{Route: u.route.Name, Duration: u.Clock.Since(o.begin), Pause: o.meanPause()}
 	if o.events > 0 {
-		s.Took = o.firstEvent.Sub(o.begin)
+		s.Duration = o.firstEvent.Sub(o.begin)
 	}
 	switch {
 	case outcome == resultNotRun || outcome == resultInputGone || outcome == resultBarred:
 		return nil
 	case outcome == resultUnreachable:
-		s.Failed, s.Took = true, 0
-	case ctx.Err() != nil && o.events == 0 && s.Took < u.route.Objective:
+		s.Failed, s.Duration = true, 0
+	case ctx.Err() != nil && o.events == 0 && s.Duration < u.route.Objective:
 		// The client disconnected, so the latency is unknown.
 		return nil
 	case ctx.Err() != nil:
--- a/pkg/rollout/evidence_test.go
+++ b/pkg/rollout/evidence_test.go
@@ -40,7 +40,7 @@
 			took *= b.slowFactor
 		}
 	}
-	return rollout.Sample{Route: fmt.Sprint(route), Failed: random.Float64() < fails, Took: time.Duration(took * float64(time.Millisecond))}
+	return rollout.Sample{Route: fmt.Sprint(route), Failed: random.Float64() < fails, Duration: time.Duration(took * float64(time.Millisecond))}
 }
 
 // outcome is the result of a simulated rollout.
@@ -65,7 +65,7 @@
 		}
 		route := random.IntN(len(routes))
 		sample := sampleOf(random, route, b, n)
-		if sample.Failed || sample.Took > 3*time.Duration(routes[route].median)*time.Millisecond {
+		if sample.Failed || sample.Duration > 3*time.Duration(routes[route].median)*time.Millisecond {
 			bad++
 		}
 		all.Add(sample, true)
--- a/pkg/rollout/model_test.go
+++ b/pkg/rollout/model_test.go
@@ -222,16 +222,16 @@
 		}
 	}
 	sample := sampleOf(i.random, route, b, i.arrived)
-	if e.Version == "v2" && (sample.Failed || sample.Took > 3*time.Duration(routes[route].median)*time.Millisecond) && b != (behaviour{route: -1}) {
+	if e.Version == "v2" && (sample.Failed || sample.Duration > 3*time.Duration(routes[route].median)*time.Millisecond) && b != (behaviour{route: -1}) {
 		if i.badAnswers++; i.badAnswers == badTolerance {
 			i.toleranceExceededAt = now
 		}
 	}
 	if i.random.IntN(100) == 0 {
 		// One request in a hundred is long on any version.
-		sample.Took += 1500 * time.Millisecond
+		sample.Duration += 1500 * time.Millisecond
 	}
-	i.underWay = append(i.underWay, inFlightCall{call: i.keeper.Begin(e, route == 2), sample: sample, end: now.Add(sample.Took), fixed: e.Version == "v1" && route != 2})
+	i.underWay = append(i.underWay, inFlightCall{call: i.keeper.Begin(e, route == 2), sample: sample, end: now.Add(sample.Duration), fixed: e.Version == "v1" && route != 2})
 }
 
 // countInterrupted counts the calls interrupted when the old endpoints stop.
--- a/pkg/rollout/tally.go
+++ b/pkg/rollout/tally.go
@@ -96,8 +96,8 @@
 type Sample struct {
 	Route  string
 	Failed bool
-	// Took is the time to the response or to the first event; 0 if unknown.
-	Took time.Duration
+	// Duration is the time to the response or to the first event; 0 if unknown.
+	Duration time.Duration
 	// Pause is the mean pause between events; 0 if unknown.
 	Pause time.Duration
 }
@@ -108,8 +108,8 @@
 	if s.Failed {
 		one.Failures = 1
 	}
-	if s.Took > 0 {
-		one.Times = singleTime(s.Took)
+	if s.Duration > 0 {
+		one.Times = singleTime(s.Duration)
 	}
 	t.addSide(s.Route, one, isNew)
 	if s.Pause > 0 {
--- a/pkg/rollout/tally_bench_test.go
+++ b/pkg/rollout/tally_bench_test.go
@@ -16,7 +16,7 @@
 	for n := range 1_000 {
 		tally := rollout.NewTally()
 		for route := range 4 {
-			sample := rollout.Sample{Route: fmt.Sprint("route-", route), Took: 20 * time.Millisecond}
+			sample := rollout.Sample{Route: fmt.Sprint("route-", route), Duration: 20 * time.Millisecond}
 			tally.Add(sample, true)
 			tally.Add(sample, false)
 		}
