--- a/pkg/rollout/model_test.go
+++ b/pkg/rollout/model_test.go
@@ -118,7 +118,7 @@
 	i := &node{model: m, name: name, incarnation: incarnation}
 	i.snapshot = fleet.New(1, endpoints("v1", 6)).Roll(fleet.Rollouts{Revision: 4})
 	i.keeper = rollout.NewManager(i, i, i, share, m.clock, logging.Discard().For("rollout"))
-	i.keeper.AtOnce()
+	i.keeper.RunSynchronously()
 	if m.ordered.Known() {
 		i.order()
 	}
