--- a/pkg/gateway/backoff.go
+++ b/pkg/gateway/backoff.go
@@ -37,7 +37,7 @@
 }
 
 // refuseNoneAvailable refuses a request for which no endpoint can be chosen. If all endpoints are
-// backing off, the client is told to retry after the first backoff ends.
+// backing off, the client should retry after the first backoff ends.
 func (u *run) refuseNoneAvailable() *Refusal {
 	ready := u.ready(u.service.Name)
 	rest := u.Balancer.Return(ready, u.retryAfter())
--- a/pkg/gateway/refusals.go
+++ b/pkg/gateway/refusals.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// stoppingRetryAfter is the retry delay told by an instance that is shutting down.
+// stoppingRetryAfter is the retry delay sent by an instance that is shutting down.
 const stoppingRetryAfter = 50 * time.Millisecond
 
 // Status 503 guarantees that the request has not run and will not run; 502 and 504 do not.
@@ -26,7 +26,7 @@
 	return &Refusal{http.StatusServiceUnavailable, time.Second, "stale_configuration", "this instance has lost contact with the configuration store; the request has not run; retry after the delay in Retry-After"}
 }
 
-// outdatedRetryAfter is the retry delay told by an instance that lacks the newest configuration. It
+// outdatedRetryAfter is the retry delay sent by an instance that lacks the newest configuration. It
 // normally receives it within a second, and other instances may have it already.
 const outdatedRetryAfter = 300 * time.Millisecond
 
--- a/pkg/gateway/stages.go
+++ b/pkg/gateway/stages.go
@@ -144,7 +144,7 @@
 	return bytes
 }
 
-// minRetryAfter is the shortest retry delay told to refused clients.
+// minRetryAfter is the shortest retry delay sent to refused clients.
 const minRetryAfter = 200 * time.Millisecond
 
 // retryAfter returns the retry delay for a refused request.
