--- a/pkg/quarantine/digest_test.go
+++ b/pkg/quarantine/digest_test.go
@@ -10,7 +10,7 @@
 var _ = Describe("a digest", func() {
 	of := quarantine.Sum("organisation", "host", "/path?q=1", []byte("body"))
 
-	It("is the same for each try of a request", func() {
+	It("is the same for each attempt of a request", func() {
 		Expect(quarantine.Sum("organisation", "host", "/path?q=1", []byte("body"))).To(Equal(of))
 	})
 
@@ -19,7 +19,7 @@
 		Entry("by host", quarantine.Sum("organisation", "other", "/path?q=1", []byte("body"))),
 		Entry("by path", quarantine.Sum("organisation", "host", "/path?q=2", []byte("body"))),
 		Entry("by body", quarantine.Sum("organisation", "host", "/path?q=1", []byte("bodies"))),
-		Entry("by where one field ends", quarantine.Sum("organisationhost", "", "/path?q=1", []byte("body"))),
-		Entry("by where the path ends", quarantine.Sum("organisation", "host", "/path?q=1b", []byte("ody"))),
+		Entry("by the boundary between two fields", quarantine.Sum("organisationhost", "", "/path?q=1", []byte("body"))),
+		Entry("by the boundary between path and body", quarantine.Sum("organisation", "host", "/path?q=1b", []byte("ody"))),
 	)
 })
--- a/pkg/quarantine/manager.go
+++ b/pkg/quarantine/manager.go
@@ -44,33 +44,33 @@
 	pendingWrites chan Crash
 }
 
-// NewManager returns a Keeper for a table. broadcast sends recent changes of the table to all other
+// NewManager returns a Manager for a table. broadcast sends recent changes of the table to all other
 // instances and must not block.
 func NewManager(table *Table, store Store, broadcast func(), clock clockwork.Clock, log *logrus.Entry) *Manager {
 	return &Manager{Table: table, store: store, broadcast: broadcast, clock: clock, log: log, pendingWrites: make(chan Crash, writeQueueSize)}
 }
 
 // RecordCrash records a crash observed by this instance.
-func (k *Manager) RecordCrash(d Digest, incarnation string) {
-	k.Table.RecordCrash(d, incarnation)
-	k.publish([]Crash{{Digest: d, Incarnation: incarnation}})
+func (m *Manager) RecordCrash(d Digest, incarnation string) {
+	m.Table.RecordCrash(d, incarnation)
+	m.publish([]Crash{{Digest: d, Incarnation: incarnation}})
 }
 
 // Clear records that a request ran without crashing its endpoint.
-func (k *Manager) Clear(d Digest) {
-	if k.Table.Clear(d) {
-		k.publish(k.Table.crashesOf(d))
+func (m *Manager) Clear(d Digest) {
+	if m.Table.Clear(d) {
+		m.publish(m.Table.crashesOf(d))
 	}
 }
 
 // publish broadcasts changes and queues crashes to be written.
-func (k *Manager) publish(crashes []Crash) {
-	k.broadcast()
+func (m *Manager) publish(crashes []Crash) {
+	m.broadcast()
 	for _, e := range crashes {
 		select {
-		case k.pendingWrites <- e:
+		case m.pendingWrites <- e:
 		default:
-			k.log.WithFields(logrus.Fields{"event": "end_not_kept", "digest": e.Digest.String()}).Warn("the write queue is full")
+			m.log.WithFields(logrus.Fields{"event": "end_not_kept", "digest": e.Digest.String()}).Warn("the write queue is full")
 		}
 	}
 }
@@ -78,26 +78,26 @@
 // LoadCrashes loads the crashes of a request from the store if the request has some but is not
 // quarantined: unreachable instances may have seen the others. This limits the crashes on each side
 // of a partition, and after a restart of all instances, to one.
-func (k *Manager) LoadCrashes(ctx context.Context, d Digest) {
-	if !k.IsSuspect(d) || k.IsQuarantined(d) {
+func (m *Manager) LoadCrashes(ctx context.Context, d Digest) {
+	if !m.IsSuspect(d) || m.IsQuarantined(d) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	crashes, err := k.store.LoadCrashes(ctx, d)
+	crashes, err := m.store.LoadCrashes(ctx, d)
 	if err != nil {
-		k.log.WithFields(logrus.Fields{"event": "ends_not_recalled", "digest": d.String()}).Info(err)
+		m.log.WithFields(logrus.Fields{"event": "ends_not_recalled", "digest": d.String()}).Info(err)
 		return
 	}
-	k.Merge(crashes)
+	m.Merge(crashes)
 }
 
 // Run writes crashes to the store until ctx ends.
-func (k *Manager) Run(ctx context.Context) {
+func (m *Manager) Run(ctx context.Context) {
 	for {
 		select {
-		case e := <-k.pendingWrites:
-			k.writeWithRetry(ctx, k.collectBatch(e))
+		case e := <-m.pendingWrites:
+			m.writeWithRetry(ctx, m.collectBatch(e))
 		case <-ctx.Done():
 			return
 		}
@@ -105,11 +105,11 @@
 }
 
 // collectBatch returns a crash and those queued after it.
-func (k *Manager) collectBatch(first Crash) []Crash {
+func (m *Manager) collectBatch(first Crash) []Crash {
 	crashes := []Crash{first}
 	for len(crashes) < maxWriteBatch {
 		select {
-		case e := <-k.pendingWrites:
+		case e := <-m.pendingWrites:
 			crashes = append(crashes, e)
 		default:
 			return crashes
@@ -119,26 +119,26 @@
 }
 
 // writeWithRetry writes crashes and retries failed writes.
-func (k *Manager) writeWithRetry(ctx context.Context, crashes []Crash) {
+func (m *Manager) writeWithRetry(ctx context.Context, crashes []Crash) {
 	for attempt := 1; ; attempt++ {
-		err := k.write(ctx, crashes)
+		err := m.write(ctx, crashes)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		k.log.WithFields(logrus.Fields{"event": "ends_not_kept", "ends": len(crashes), "try": attempt}).Warn(err)
+		m.log.WithFields(logrus.Fields{"event": "ends_not_kept", "ends": len(crashes), "try": attempt}).Warn(err)
 		if attempt == maxWriteAttempts {
 			return
 		}
 		select {
-		case <-k.clock.After(writeRetryDelay):
+		case <-m.clock.After(writeRetryDelay):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (k *Manager) write(ctx context.Context, crashes []Crash) error {
+func (m *Manager) write(ctx context.Context, crashes []Crash) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	return k.store.SaveCrashes(ctx, crashes)
+	return m.store.SaveCrashes(ctx, crashes)
 }
--- a/pkg/quarantine/propagation_test.go
+++ b/pkg/quarantine/propagation_test.go
@@ -111,8 +111,8 @@
 	return crashes, late
 }
 
-var _ = Describe("a large fleet that is sent such a request ten times a second, anywhere", func() {
-	DescribeTable("has it end no more endpoints than it may",
+var _ = Describe("a large fleet that receives a crashing request ten times a second at random instances", func() {
+	DescribeTable("limits the number of crashes",
 		func(instances int, loss float64, seeds int) {
 			for seed := range seeds {
 				f := newFleet(instances, loss, uint64(seed))
@@ -125,8 +125,8 @@
 				}
 			}
 		},
-		Entry("of 6 instances, nothing is lost", 6, 0.0, 10),
-		Entry("of 60 instances, a tenth of what they tell is lost", 60, 0.1, 5),
-		Entry("of 300 instances, a third of what they tell is lost", 300, 0.33, 2),
+		Entry("6 instances, no message loss", 6, 0.0, 10),
+		Entry("60 instances, 10% message loss", 60, 0.1, 5),
+		Entry("300 instances, 33% message loss", 300, 0.33, 2),
 	)
 })
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -142,9 +142,9 @@
 		t.requests[e.Digest] = r
 	}
 	if known := r.crashes[e.Incarnation]; known != nil {
-		news := e.Cleared && !known.cleared
+		changed := e.Cleared && !known.cleared
 		known.cleared = known.cleared || e.Cleared
-		if news {
+		if changed {
 			return r
 		}
 		return nil
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -28,7 +28,7 @@
 	return quarantine.New(clock, logging.Discard().For("quarantine"))
 }
 
-var _ = Describe("the table of requests that end endpoints", func() {
+var _ = Describe("the table of crashes", func() {
 	var (
 		clock *clockwork.FakeClock
 		t     *quarantine.Table
@@ -41,7 +41,7 @@
 		t = newTable(clock)
 	})
 
-	It("holds a request under which three endpoints ended, and no other", func() {
+	It("quarantines only a request with three crashes", func() {
 		for n := range 3 {
 			Expect(t.IsQuarantined(digest(poison))).To(BeFalse())
 			t.RecordCrash(digest(poison), incarnation(n))
@@ -51,7 +51,7 @@
 		Expect(t.Count()).To(Equal(1))
 	})
 
-	It("counts a life of an endpoint once, however many tries ran there and whoever tells", func() {
+	It("counts each incarnation of an endpoint once, regardless of the number of attempts and reports", func() {
 		for range 4 {
 			t.RecordCrash(digest(poison), incarnation(1))
 			t.Merge([]quarantine.Crash{crash(poison, 1), crash(poison, 1)})
@@ -60,30 +60,30 @@
 		Expect(t.IsQuarantined(digest(poison))).To(BeFalse())
 	})
 
-	It("adds up what several instances saw", func() {
+	It("adds up crashes seen by several instances", func() {
 		t.RecordCrash(digest(poison), incarnation(1))
 		t.Merge([]quarantine.Crash{crash(poison, 2)})
 		t.Merge([]quarantine.Crash{crash(poison, 3)})
 		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
 	})
 
-	It("lets a request go that has run well since, and counts anew", func() {
+	It("releases a request that has run without a crash since, and counts later crashes again", func() {
 		for n := range 3 {
 			t.RecordCrash(digest(harmless), incarnation(n))
 		}
 		Expect(t.Clear(digest(harmless))).To(BeTrue())
-		Expect(t.Clear(digest(harmless))).To(BeFalse(), "that is no news any more")
+		Expect(t.Clear(digest(harmless))).To(BeFalse(), "already cleared")
 		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse())
 		Expect(t.Count()).To(BeZero())
 		t.Merge([]quarantine.Crash{crash(harmless, 0), crash(harmless, 1), crash(harmless, 2)})
-		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse(), "who has not heard of it brings nothing back")
+		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse(), "reports of cleared crashes do not restore them")
 		for n := 10; n < 13; n++ {
 			t.RecordCrash(digest(harmless), incarnation(n))
 		}
 		Expect(t.IsQuarantined(digest(harmless))).To(BeTrue())
 	})
 
-	It("does not hold a request that only ran beside the one that ended its endpoints", func() {
+	It("does not quarantine a request that only ran beside the crashing one", func() {
 		for n := range 3 {
 			t.RecordCrash(digest(poison), incarnation(n))
 			t.RecordCrash(digest(harmless), incarnation(n))
@@ -95,7 +95,7 @@
 
 	// With three endpoints, a harmless request that is retried may run beside the crashing one each
 	// time.
-	It("holds neither of two that ran beside each other each time, until it shows which it was", func() {
+	It("quarantines neither of two requests that always ran together until they differ in a crash", func() {
 		for n := range 3 {
 			t.RecordCrash(digest(poison), incarnation(n))
 			t.RecordCrash(digest(harmless), incarnation(n))
@@ -106,7 +106,7 @@
 		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse())
 	})
 
-	It("holds both at five, since the users allow three more than three", func() {
+	It("quarantines both after five crashes", func() {
 		for n := range 5 {
 			Expect(t.Count()).To(BeZero())
 			t.RecordCrash(digest(poison), incarnation(n))
@@ -119,7 +119,7 @@
 		Expect(t.IsQuarantined(digest(harmless))).To(BeFalse())
 	})
 
-	It("holds the one at once when the other has run well", func() {
+	It("quarantines one as soon as the other has run without a crash", func() {
 		for n := range 3 {
 			t.RecordCrash(digest(poison), incarnation(n))
 			t.RecordCrash(digest(harmless), incarnation(n))
@@ -128,7 +128,7 @@
 		Expect(t.IsQuarantined(digest(poison))).To(BeTrue())
 	})
 
-	It("forgets an end an hour later, wherever it was heard of last", func() {
+	It("drops a crash after an hour, also if it was reported later", func() {
 		other := newTable(clock)
 		for n := range 3 {
 			t.RecordCrash(digest(poison), incarnation(n))
@@ -144,14 +144,14 @@
 		Expect(other.Recent(10)).To(BeEmpty())
 	})
 
-	It("tells the newest ends first, and in time all that count", func() {
+	It("reports the newest crashes first, and eventually all that count", func() {
 		for n := range 40 {
 			t.Merge([]quarantine.Crash{crash(n, 2*n), crash(n, 2*n+1)})
 			clock.Advance(time.Second)
 		}
-		told := t.Recent(4)
-		Expect(told).To(HaveLen(4))
-		Expect(told).To(ContainElements(HaveField("Digest", digest(39)), HaveField("Age", time.Second)))
+		reported := t.Recent(4)
+		Expect(reported).To(HaveLen(4))
+		Expect(reported).To(ContainElements(HaveField("Digest", digest(39)), HaveField("Age", time.Second)))
 		other := newTable(clock)
 		for range 1000 {
 			other.Merge(t.Recent(4))
@@ -161,7 +161,7 @@
 		}
 	})
 
-	It("tells of a request with several ends however many others have one", func() {
+	It("reports a request with several crashes before those with one", func() {
 		t.RecordCrash(digest(poison), incarnation(1))
 		t.RecordCrash(digest(poison), incarnation(2))
 		for n := range 100 {
@@ -171,7 +171,7 @@
 		Expect(t.Recent(4)).To(ContainElements(HaveField("Incarnation", incarnation(1)), HaveField("Incarnation", incarnation(2))))
 	})
 
-	It("stops telling of requests under which one endpoint alone ended", func() {
+	It("stops reporting requests with a single crash", func() {
 		t.RecordCrash(digest(harmless), incarnation(1))
 		Expect(t.Recent(4)).To(HaveLen(1))
 		clock.Advance(30 * time.Second)
@@ -179,7 +179,7 @@
 		Expect(t.CrashCount(digest(harmless))).To(Equal(1))
 	})
 
-	It("bounds what it keeps, and drops no request that it holds for others", func() {
+	It("limits its size and evicts quarantined requests last", func() {
 		for n := range 3 {
 			t.RecordCrash(digest(-1), incarnation(n))
 		}
@@ -198,8 +198,8 @@
 })
 
 // Guards against decisions that depend on the order or the repetition of reports.
-var _ = Describe("tables that have heard the same", func() {
-	It("hold the same requests", func() {
+var _ = Describe("tables with the same reports", func() {
+	It("quarantine the same requests", func() {
 		rapid.Check(GinkgoT(), func(r *rapid.T) {
 			var crashes []quarantine.Crash
 			for range rapid.IntRange(1, 30).Draw(r, "ends") {
@@ -218,11 +218,11 @@
 			second.Merge(shuffled)
 			for n := range 5 {
 				if first.IsQuarantined(digest(n)) != second.IsQuarantined(digest(n)) || first.CrashCount(digest(n)) != second.CrashCount(digest(n)) {
-					r.Fatalf("request %d: held %v and %v", n, first.IsQuarantined(digest(n)), second.IsQuarantined(digest(n)))
+					r.Fatalf("request %d: quarantined %v and %v", n, first.IsQuarantined(digest(n)), second.IsQuarantined(digest(n)))
 				}
 			}
 			if first.Count() != second.Count() {
-				r.Fatalf("%d and %d are held", first.Count(), second.Count())
+				r.Fatalf("%d and %d requests are quarantined", first.Count(), second.Count())
 			}
 		})
 	})
