--- a/pkg/rollout/evidence_test.go
+++ b/pkg/rollout/evidence_test.go
@@ -86,7 +86,7 @@
 	// at 250 requests a second.
 	const trial = 120
 
-	DescribeTable("is not enough for one",
+	DescribeTable("does not condemn a version",
 		func(b behaviour, mostWrong, mostDoubted int) {
 			wrong, doubted := 0, 0
 			for seed := range uint64(500) {
@@ -103,10 +103,10 @@
 		},
 		Entry("that is good", behaviour{route: -1}, 1, 15),
 		Entry("that is a fifth slower", behaviour{slowRate: 1, slowFactor: 1.2, route: -1}, 2, 25),
-		Entry("that keeps no prompts yet", behaviour{slowRate: 0.7, slowFactor: 1.8, route: 2}, 2, 25),
+		Entry("with a cold prompt cache", behaviour{slowRate: 0.7, slowFactor: 1.8, route: 2}, 2, 25),
 	)
 
-	DescribeTable("is enough for a bad one before the fiftieth bad answer, and it is not taken for good",
+	DescribeTable("condemns a bad version before the fiftieth bad answer, and does not pass its trial",
 		func(b behaviour) {
 			late, trusted := 0, 0
 			for seed := range uint64(100) {
@@ -126,7 +126,7 @@
 		Entry("half fail, on one route only", behaviour{failureRate: 0.5, route: 0}),
 		Entry("all take five times as long", behaviour{slowRate: 1, slowFactor: 5, route: -1}),
 		Entry("all take twenty times as long", behaviour{slowRate: 1, slowFactor: 20, route: -1}),
-		Entry("a third is not answered for seconds", behaviour{slowRate: 0.33, slowFactor: 200, route: -1}),
+		Entry("a third of the answers take seconds", behaviour{slowRate: 0.33, slowFactor: 200, route: -1}),
 		Entry("all take five times as long, late", behaviour{slowRate: 1, slowFactor: 5, route: -1, after: 60}),
 		Entry("half take six times as long", behaviour{slowRate: 0.5, slowFactor: 6, route: -1}),
 		Entry("all take four times as long, on one route only", behaviour{slowRate: 1, slowFactor: 4, route: 0}),
--- a/pkg/rollout/export_test.go
+++ b/pkg/rollout/export_test.go
@@ -1,7 +1,7 @@
 package rollout
 
 // RunSynchronously runs all calls synchronously, so that runs are reproducible.
-func (k *Manager) RunSynchronously() { k.spawn = func(call func()) { call() } }
+func (m *Manager) RunSynchronously() { m.spawn = func(call func()) { call() } }
 
 // Include adds a reported tally.
 func (t Tally) Include(other Tally) { t.merge(other) }
--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -130,7 +130,7 @@
 	record    Record
 }
 
-// NewManager returns a Keeper. share limits the fraction of a service's requests for a bad version.
+// NewManager returns a Manager. share limits the fraction of a service's requests for a bad version.
 func NewManager(view View, peers Peers, records Records, share float64, clock clockwork.Clock, log *logrus.Entry) *Manager {
 	return &Manager{
 		Participant:  NewParticipant(clock),
@@ -149,30 +149,30 @@
 }
 
 // Run polls until ctx ends.
-func (k *Manager) Run(ctx context.Context) {
-	ticker := k.clock.NewTicker(pollPeriod)
+func (m *Manager) Run(ctx context.Context) {
+	ticker := m.clock.NewTicker(pollPeriod)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.Chan():
-			k.Poll(ctx)
+			m.Poll(ctx)
 		}
 	}
 }
 
 // Poll sends due reports, advances the conducted rollouts and updates the view.
-func (k *Manager) Poll(ctx context.Context) {
-	orders := k.view.Rollouts().Orders
-	k.SetOrders(orders)
+func (m *Manager) Poll(ctx context.Context) {
+	orders := m.view.Rollouts().Orders
+	m.SetOrders(orders)
 	for _, order := range orders {
-		k.reportIfDue(ctx, order)
+		m.reportIfDue(ctx, order)
 	}
-	k.conduct(ctx, orders)
-	if standings := k.Standings(); !maps.Equal(standings, k.lastStandings) {
-		k.view.SetStandings(ctx, standings)
-		k.lastStandings = standings
+	m.conduct(ctx, orders)
+	if standings := m.Standings(); !maps.Equal(standings, m.lastStandings) {
+		m.view.SetStandings(ctx, standings)
+		m.lastStandings = standings
 	}
 }
 
@@ -182,88 +182,88 @@
 }
 
 // reportIfDue starts a report if it is due.
-func (k *Manager) reportIfDue(ctx context.Context, order fleet.Rollout) {
-	if k.Finished(order.Revision) {
+func (m *Manager) reportIfDue(ctx context.Context, order fleet.Rollout) {
+	if m.Finished(order.Revision) {
 		return
 	}
-	candidates := k.peers.Conductors(order.Service)
+	candidates := m.peers.Conductors(order.Service)
 	every := reportPeriod(len(candidates))
-	now := k.clock.Now()
-	k.mu.Lock()
-	due := !k.reporting[order.Revision] && now.Sub(k.reportedAt[order.Revision]) >= every
+	now := m.clock.Now()
+	m.mu.Lock()
+	due := !m.reporting[order.Revision] && now.Sub(m.reportedAt[order.Revision]) >= every
 	if due {
-		k.reporting[order.Revision], k.reportedAt[order.Revision] = true, now
+		m.reporting[order.Revision], m.reportedAt[order.Revision] = true, now
 	}
-	k.mu.Unlock()
+	m.mu.Unlock()
 	if !due {
 		return
 	}
-	k.spawn(func() {
-		k.sendReport(ctx, order, candidates, 2*every+instructionSlack)
-		k.mu.Lock()
-		delete(k.reporting, order.Revision)
-		k.mu.Unlock()
+	m.spawn(func() {
+		m.sendReport(ctx, order, candidates, 2*every+instructionSlack)
+		m.mu.Lock()
+		delete(m.reporting, order.Revision)
+		m.mu.Unlock()
 	})
 }
 
 // sendReport reports to the first conductor that replies. The instruction is valid for the given
 // time from the start of the call.
-func (k *Manager) sendReport(ctx context.Context, order fleet.Rollout, candidates []Peer, holds time.Duration) {
-	r, ok := k.Report(order.Revision)
+func (m *Manager) sendReport(ctx context.Context, order fleet.Rollout, candidates []Peer, holds time.Duration) {
+	r, ok := m.Report(order.Revision)
 	if !ok {
 		return
 	}
-	r.Instance, r.Incarnation = k.peers.Self().Name, k.peers.Incarnation()
+	r.Instance, r.Incarnation = m.peers.Self().Name, m.peers.Incarnation()
 	tried := 0
 	for _, candidate := range candidates {
-		if k.isSkipped(candidate.Name) {
+		if m.isSkipped(candidate.Name) {
 			continue
 		}
-		asked := k.clock.Now()
-		instruction, err := k.queryConductor(ctx, candidate, r)
+		asked := m.clock.Now()
+		instruction, err := m.queryConductor(ctx, candidate, r)
 		if err == nil {
-			k.SetInstruction(order.Revision, instruction, asked.Add(holds))
+			m.SetInstruction(order.Revision, instruction, asked.Add(holds))
 			return
 		}
-		k.log.WithFields(logrus.Fields{"event": "conductor_silent", "service": order.Service, "order": order.Revision, "conductor": candidate.Name}).Info(err)
-		k.mu.Lock()
-		k.skippedUntil[candidate.Name] = k.clock.Now().Add(skipPeriod)
-		k.mu.Unlock()
+		m.log.WithFields(logrus.Fields{"event": "conductor_silent", "service": order.Service, "order": order.Revision, "conductor": candidate.Name}).Info(err)
+		m.mu.Lock()
+		m.skippedUntil[candidate.Name] = m.clock.Now().Add(skipPeriod)
+		m.mu.Unlock()
 		if tried++; tried == maxConductorsTried {
 			return
 		}
 	}
 }
 
-func (k *Manager) isSkipped(name string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.clock.Now().Before(k.skippedUntil[name])
+func (m *Manager) isSkipped(name string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.clock.Now().Before(m.skippedUntil[name])
 }
 
-func (k *Manager) queryConductor(ctx context.Context, candidate Peer, r Report) (Instruction, error) {
-	if candidate.Name == k.peers.Self().Name {
-		return k.Answer(r), nil
+func (m *Manager) queryConductor(ctx context.Context, candidate Peer, r Report) (Instruction, error) {
+	if candidate.Name == m.peers.Self().Name {
+		return m.Answer(r), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	return k.peers.Report(ctx, candidate, r)
+	return m.peers.Report(ctx, candidate, r)
 }
 
 // Answer processes a report as conductor. If the order is unknown here, the version is withheld.
-func (k *Manager) Answer(r Report) Instruction {
-	order, ordered := k.view.Rollouts().Of(r.Service)
+func (m *Manager) Answer(r Report) Instruction {
+	order, ordered := m.view.Rollouts().Of(r.Service)
 	if !ordered || order.Revision != r.Order {
 		return Instruction{}
 	}
-	now := k.clock.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	c := k.conducted[r.Order]
+	now := m.clock.Now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := m.conducted[r.Order]
 	if c == nil {
-		c = &conductedRollout{Conductor: NewConductor(order, k.share, now)}
-		k.conducted[r.Order] = c
-		k.log.WithFields(logrus.Fields{"event": "rollout_conducted", "service": order.Service, "version": order.Version, "order": order.Revision}).Info()
+		c = &conductedRollout{Conductor: NewConductor(order, m.share, now)}
+		m.conducted[r.Order] = c
+		m.log.WithFields(logrus.Fields{"event": "rollout_conducted", "service": order.Service, "version": order.Version, "order": order.Revision}).Info()
 	}
 	c.reportAt = now
 	c.AddReport(now, r)
@@ -271,54 +271,54 @@
 }
 
 // conduct advances all conducted rollouts and starts the accesses to their records.
-func (k *Manager) conduct(ctx context.Context, orders []fleet.Rollout) {
-	for _, c := range k.decideAll(orders) {
-		k.spawn(func() { k.syncRecord(ctx, c) })
+func (m *Manager) conduct(ctx context.Context, orders []fleet.Rollout) {
+	for _, c := range m.decideAll(orders) {
+		m.spawn(func() { m.syncRecord(ctx, c) })
 	}
 }
 
 // decideAll advances all conducted rollouts and returns those whose record is due for an access.
-func (k *Manager) decideAll(orders []fleet.Rollout) []*conductedRollout {
-	now := k.clock.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) decideAll(orders []fleet.Rollout) []*conductedRollout {
+	now := m.clock.Now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var due []*conductedRollout
-	for revision, c := range k.conducted {
+	for revision, c := range m.conducted {
 		inForce, ordered := fleet.Rollouts{Orders: orders}.Of(c.Order().Service)
 		switch {
 		case !ordered:
 			c.Withdraw()
 		case inForce.Revision != revision:
 			// The record now belongs to the newer order.
-			delete(k.conducted, revision)
+			delete(m.conducted, revision)
 			continue
 		}
 		if now.Sub(c.reportAt) < conductPeriod || !ordered {
-			k.decide(now, c)
+			m.decide(now, c)
 			if c.recordDue(now) {
 				due = append(due, c)
 			}
 		}
 		if !ordered && c.record.stateOf(c.Order()).Final() {
-			delete(k.conducted, revision)
+			delete(m.conducted, revision)
 		}
 	}
 	return due
 }
 
 // decide advances a rollout and logs the decision.
-func (k *Manager) decide(now time.Time, c *conductedRollout) {
+func (m *Manager) decide(now time.Time, c *conductedRollout) {
 	seen := Observation{}
-	for _, p := range k.peers.Conductors(c.Order().Service) {
+	for _, p := range m.peers.Conductors(c.Order().Service) {
 		seen.Instances = append(seen.Instances, p.Name)
 	}
-	seen.New, seen.Old = k.view.Versions(c.Order())
+	seen.New, seen.Old = m.view.Versions(c.Order())
 	if !c.Advance(now, seen) {
 		return
 	}
 	i := c.Instruction(now)
 	weight, of := c.StrongestEvidence()
-	k.log.WithFields(logrus.Fields{
+	m.log.WithFields(logrus.Fields{
 		"event": "rollout_step", "service": c.Order().Service, "version": c.Order().Version, "order": c.Order().Revision,
 		"exposure": i.Exposure.String(), "share": i.Share, "decided": string(c.decided), "answers": c.Answers(),
 		"against": weight, "measure": of, "new": seen.New, "old": seen.Old, "age_ms": now.Sub(c.orderedAt).Milliseconds(),
@@ -341,43 +341,43 @@
 }
 
 // syncRecord reads the record of a rollout and updates it if it differs from the decision.
-func (k *Manager) syncRecord(ctx context.Context, c *conductedRollout) {
+func (m *Manager) syncRecord(ctx context.Context, c *conductedRollout) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	err := k.readAndUpdateRecord(ctx, c)
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	err := m.readAndUpdateRecord(ctx, c)
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	c.recording = false
 	if err != nil {
-		k.log.WithFields(logrus.Fields{"event": "rollout_not_recorded", "service": c.Order().Service, "order": c.Order().Revision}).Info(err)
+		m.log.WithFields(logrus.Fields{"event": "rollout_not_recorded", "service": c.Order().Service, "order": c.Order().Revision}).Info(err)
 	}
 }
 
-func (k *Manager) readAndUpdateRecord(ctx context.Context, c *conductedRollout) error {
-	order, begin := c.Order(), k.clock.Now()
-	record, err := k.records.Read(ctx, order.Service)
+func (m *Manager) readAndUpdateRecord(ctx context.Context, c *conductedRollout) error {
+	order, begin := c.Order(), m.clock.Now()
+	record, err := m.records.Read(ctx, order.Service)
 	if err != nil {
 		return err
 	}
-	k.setRecord(c, begin, record)
-	k.mu.Lock()
+	m.setRecord(c, begin, record)
+	m.mu.Lock()
 	state, due := c.PendingState()
-	k.mu.Unlock()
+	m.mu.Unlock()
 	if !due {
 		return nil
 	}
-	revision, err := k.records.Write(ctx, order.Service, record.Revision, state, order.Version)
+	revision, err := m.records.Write(ctx, order.Service, record.Revision, state, order.Version)
 	if err != nil {
 		return err
 	}
-	k.setRecord(c, begin, Record{State: state, Version: order.Version, Revision: revision})
-	k.log.WithFields(logrus.Fields{"event": "rollout_recorded", "service": order.Service, "version": order.Version, "order": order.Revision, "state": string(state)}).Info()
+	m.setRecord(c, begin, Record{State: state, Version: order.Version, Revision: revision})
+	m.log.WithFields(logrus.Fields{"event": "rollout_recorded", "service": order.Service, "version": order.Version, "order": order.Revision, "state": string(state)}).Info()
 	return nil
 }
 
-func (k *Manager) setRecord(c *conductedRollout, at time.Time, record Record) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) setRecord(c *conductedRollout, at time.Time, record Record) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	c.record = record
 	c.SetRecorded(at, record.stateOf(c.Order()))
 }
--- a/pkg/rollout/model_test.go
+++ b/pkg/rollout/model_test.go
@@ -90,7 +90,7 @@
 	*model
 	name        string
 	incarnation uint64
-	keeper      *rollout.Manager
+	manager     *rollout.Manager
 	snapshot    *fleet.Snapshot
 	underWay    []inFlightCall
 	// frozen instances make no progress.
@@ -117,8 +117,8 @@
 func (m *model) start(name string, incarnation uint64) *node {
 	i := &node{model: m, name: name, incarnation: incarnation}
 	i.snapshot = fleet.New(1, endpoints("v1", 6)).Roll(fleet.Rollouts{Revision: 4})
-	i.keeper = rollout.NewManager(i, i, i, share, m.clock, logging.Discard().For("rollout"))
-	i.keeper.RunSynchronously()
+	i.manager = rollout.NewManager(i, i, i, share, m.clock, logging.Discard().For("rollout"))
+	i.manager.RunSynchronously()
 	if m.ordered.Known() {
 		i.order()
 	}
@@ -163,7 +163,7 @@
 func (i *node) Report(_ context.Context, to rollout.Peer, r rollout.Report) (rollout.Instruction, error) {
 	for _, other := range i.instances {
 		if other.name == to.Name && i.reaches(i.name, to.Name) && !other.frozen {
-			return other.keeper.Answer(r), nil
+			return other.manager.Answer(r), nil
 		}
 	}
 	return rollout.Instruction{}, errUnreachable
@@ -231,7 +231,7 @@
 		// One request in a hundred is long on any version.
 		sample.Duration += 1500 * time.Millisecond
 	}
-	i.underWay = append(i.underWay, inFlightCall{call: i.keeper.Begin(e, route == 2), sample: sample, end: now.Add(sample.Duration), fixed: e.Version == "v1" && route != 2})
+	i.underWay = append(i.underWay, inFlightCall{call: i.manager.Begin(e, route == 2), sample: sample, end: now.Add(sample.Duration), fixed: e.Version == "v1" && route != 2})
 }
 
 // countInterrupted counts the calls interrupted when the old endpoints stop.
@@ -270,7 +270,7 @@
 			return true
 		})
 		if m.clock.Since(m.begun)%(5*tick) == 0 {
-			i.keeper.Poll(context.Background())
+			i.manager.Poll(context.Background())
 		}
 	}
 }
@@ -304,7 +304,7 @@
 var _ = Describe("instances that move traffic", func() {
 	const instances, perSecond = 30, 9.0
 
-	DescribeTable("complete a good version in time, with nothing left at the old one",
+	DescribeTable("complete a good version in time, with nothing in flight at the old one",
 		func(n int, each float64) {
 			late := 0
 			for seed := range uint64(10) {
@@ -339,7 +339,7 @@
 		}
 	})
 
-	It("give a bad version no more than its share in cuts, outages, kills and freezes", func() {
+	It("give a bad version no more than its share during partitions, outages, kills and freezes", func() {
 		for seed := range uint64(40) {
 			m := newModel(seed, 12)
 			m.bad = badVersions[m.random.IntN(len(badVersions))]
@@ -360,7 +360,7 @@
 		}
 	})
 
-	It("complete a good version after cuts, outages, kills and freezes have ended", func() {
+	It("complete a good version after partitions, outages, kills and freezes have ended", func() {
 		for seed := range uint64(20) {
 			m := newModel(seed, 12)
 			m.bad = behaviour{route: -1}
@@ -376,7 +376,7 @@
 		}
 	})
 
-	DescribeTable("complete a good version only when nothing goes to the old one, though the store fails just then",
+	DescribeTable("complete a good version only when the old one is idle, even if the store fails",
 		func(fail func(*model)) {
 			for seed := range uint64(8) {
 				m := newModel(seed, 6)
@@ -398,12 +398,12 @@
 				Expect(m.lateOldRequests).To(BeZero(), "seed %d", seed)
 			}
 		},
-		Entry("is silent", func(m *model) { m.storeDown = true }),
-		Entry("loses answers, and does what was asked later", func(m *model) { m.delayWrites = true }),
+		Entry("does not reply", func(m *model) { m.storeDown = true }),
+		Entry("loses replies and applies writes later", func(m *model) { m.delayWrites = true }),
 		Entry("does both", func(m *model) { m.delayWrites = true; m.run(time.Second, 20); m.storeDown = true }),
 	)
 
-	It("give a version on trial nothing while the record can't be read, which another may have written", func() {
+	It("stop a trial while the record cannot be read", func() {
 		m := newModel(3, 6)
 		m.bad = behaviour{route: -1}
 		m.order()
@@ -416,7 +416,7 @@
 		Expect(m.arrived).To(Equal(before))
 	})
 
-	It("complete an order for the version that has all of the traffic, and serve on meanwhile", func() {
+	It("complete an order for the current version, and keep serving", func() {
 		m := newModel(1, 4)
 		m.bad = behaviour{route: -1}
 		for _, i := range m.instances {
@@ -431,7 +431,7 @@
 		Expect(m.arrived).To(Equal(m.all))
 	})
 
-	It("send nothing to a version that is on trial when they have just started", func() {
+	It("send nothing to a reverted version after a restart", func() {
 		m := newModel(1, 6)
 		m.bad = badVersions[0]
 		m.order()
--- a/pkg/rollout/participant.go
+++ b/pkg/rollout/participant.go
@@ -170,12 +170,12 @@
 
 // standing returns the standing of the rollout. Instructions expire, because a later one that
 // refutes the version may have been lost.
-func (k *participation) standing(now time.Time) fleet.Standing {
-	forGood := k.instruction.Recorded || k.instruction.State == Reverted
-	if !forGood && now.After(k.validUntil) {
+func (p *participation) standing(now time.Time) fleet.Standing {
+	forGood := p.instruction.Recorded || p.instruction.State == Reverted
+	if !forGood && now.After(p.validUntil) {
 		return fleet.Standing{}
 	}
-	return fleet.Standing{Exposure: k.instruction.Exposure, Share: k.instruction.Share}
+	return fleet.Standing{Exposure: p.instruction.Exposure, Share: p.instruction.Share}
 }
 
 // Standings returns the standings of all rollouts.
--- a/pkg/rollout/participant_test.go
+++ b/pkg/rollout/participant_test.go
@@ -11,7 +11,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/rollout"
 )
 
-var _ = Describe("an instance that takes part in a rollout", func() {
+var _ = Describe("a participant of a rollout", func() {
 	order := fleet.Rollout{Service: "s", Version: "v2", OverMs: 10_000, Revision: 7}
 	var (
 		clock *clockwork.FakeClock
@@ -29,7 +29,7 @@
 		p.SetOrders([]fleet.Rollout{order})
 	})
 
-	It("goes by what it was told for a while, and then withholds the version", func() {
+	It("applies an instruction until it expires, and then withholds the version", func() {
 		Expect(standing().Exposure).To(Equal(fleet.Withheld))
 		for _, i := range []rollout.Instruction{tried, proven} {
 			tell(i)
@@ -39,12 +39,12 @@
 		}
 	})
 
-	It("keeps for good that a version is bad, whatever it is told but that the rollout was completed", func() {
+	It("keeps a version refuted unless the rollout is recorded as completed", func() {
 		tell(rollout.Instruction{Exposure: fleet.Refuted, State: rollout.Reverted})
 		tell(tried)
 		clock.Advance(time.Hour)
 		Expect(standing().Exposure).To(Equal(fleet.Refuted))
-		Expect(p.Finished(order.Revision)).To(BeFalse(), "operators have not been told")
+		Expect(p.Finished(order.Revision)).To(BeFalse(), "not recorded yet")
 		tell(rollout.Instruction{Exposure: fleet.Proven, State: rollout.Completed, Recorded: true})
 		tell(tried)
 		clock.Advance(time.Hour)
@@ -52,7 +52,7 @@
 		Expect(p.Finished(order.Revision)).To(BeTrue())
 	})
 
-	It("tells the step that it was told, also after a conductor that knows of none", func() {
+	It("reports its last step, also after a conductor that has none", func() {
 		tell(proven)
 		tell(rollout.Instruction{})
 		r, ok := p.Report(order.Revision)
@@ -60,7 +60,7 @@
 		Expect(r.Step).To(Equal(4))
 	})
 
-	It("is clear when nothing of its is under way at other versions, once all goes to the new one", func() {
+	It("is clear once all traffic goes to the new version and no calls are in flight at others", func() {
 		report := func() rollout.Report { r, _ := p.Report(order.Revision); return r }
 		fixed := p.Begin(fleet.Endpoint{Service: "s", Version: "v1"}, false)
 		resumable := p.Begin(fleet.Endpoint{Service: "s", Version: "v1"}, true)
@@ -73,12 +73,12 @@
 		resumable.End(nil)
 		Expect(report()).To(SatisfyAll(HaveField("Clear", true), HaveField("Movable", true)))
 		clock.Advance(2 * time.Second)
-		Expect(report().Clear).To(BeFalse(), "it may send there again")
+		Expect(report().Clear).To(BeFalse(), "it may use the old endpoints again")
 	})
 
-	It("waits for word of an order for a while only", func() {
+	It("awaits the first instruction for a limited time", func() {
 		Expect(p.AwaitsInstruction(order)).To(BeTrue())
-		Expect(p.AwaitsInstruction(fleet.Rollout{Revision: 9})).To(BeTrue(), "it has not looked yet")
+		Expect(p.AwaitsInstruction(fleet.Rollout{Revision: 9})).To(BeTrue(), "the order is not set yet")
 		clock.Advance(5 * time.Second)
 		Expect(p.AwaitsInstruction(order)).To(BeFalse())
 	})
--- a/pkg/rollout/status.go
+++ b/pkg/rollout/status.go
@@ -25,18 +25,18 @@
 }
 
 // List returns the status of all rollouts in force.
-func (k *Manager) List() []Status {
+func (m *Manager) List() []Status {
 	list := []Status{}
-	now := k.clock.Now()
-	for _, order := range k.view.Rollouts().Orders {
+	now := m.clock.Now()
+	for _, order := range m.view.Rollouts().Orders {
 		entry := Status{Service: order.Service, Version: order.Version, Order: order.Revision}
-		k.Participant.list(&entry)
-		k.mu.Lock()
-		if c := k.conducted[order.Revision]; c != nil && now.Sub(c.reportAt) < conductPeriod {
+		m.Participant.list(&entry)
+		m.mu.Lock()
+		if c := m.conducted[order.Revision]; c != nil && now.Sub(c.reportAt) < conductPeriod {
 			entry.Conducted, entry.Answers = true, c.Answers()
 			entry.Against, entry.Measure = c.StrongestEvidence()
 		}
-		k.mu.Unlock()
+		m.mu.Unlock()
 		list = append(list, entry)
 	}
 	return list
--- a/pkg/rollout/tally_test.go
+++ b/pkg/rollout/tally_test.go
@@ -7,8 +7,8 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/rollout"
 )
 
-var _ = Describe("a tally of a build that tells times apart otherwise", func() {
-	It("has its longest times count as the longest here, and none that it lacks", func() {
+var _ = Describe("a tally of a build with other histogram buckets", func() {
+	It("counts excess buckets as the last one, and missing ones as empty", func() {
 		longer := make([]int, rollout.Bounds+4)
 		longer[0], longer[rollout.Bounds+1], longer[rollout.Bounds+3] = 1, 2, 3
 		t := rollout.NewTally()
