--- a/cmd/cobaltcroftd/gateway/evacuation_test.go
+++ b/cmd/cobaltcroftd/gateway/evacuation_test.go
@@ -58,7 +58,7 @@
 		}
 	}
 
-	It("sends nothing more there within its bound, of any kind, and serves all elsewhere until it is taken back", func() {
+	It("stops all traffic there within its bound, and serves everything elsewhere until it is withdrawn", func() {
 		i := start(d.Address())
 		Eventually(arrivals(i, localDomain)).ShouldNot(BeZero())
 		evacuate(localDomain)
@@ -73,7 +73,7 @@
 		Eventually(arrivals(i, localDomain)).ShouldNot(BeZero())
 	})
 
-	It("lets what runs there end in peace", func() {
+	It("lets requests in flight finish", func() {
 		for _, e := range d.Of("model") {
 			e.SetTimes(time.Millisecond, 300*time.Millisecond)
 		}
@@ -141,7 +141,7 @@
 		Expect(arrived(localDomain)).To(BeZero())
 	})
 
-	It("holds through an outage of the store, its lost history, and orders that come together", func() {
+	It("holds through an outage and a lost history of the store, and concurrent orders", func() {
 		i := start(d.Address())
 		evacuate(localDomain)
 		Eventually(arrivals(i, localDomain)).WithTimeout(evacuationBound).Should(BeZero())
--- a/cmd/cobaltcroftd/gateway/lifecycle_test.go
+++ b/cmd/cobaltcroftd/gateway/lifecycle_test.go
@@ -14,7 +14,7 @@
 	"github.com/cobaltcroft/cobaltcroft/platform/platformtest"
 )
 
-var _ = Describe("an instance's life", func() {
+var _ = Describe("the lifecycle of an instance", func() {
 	var d *platformtest.Deployment
 
 	BeforeEach(func() { d = deploy(2) })
@@ -26,7 +26,7 @@
 		}
 	}
 
-	It("is unready, and answers 503, until it knows a configuration", func() {
+	It("is not ready and answers 503 until it has a configuration", func() {
 		d.Store.SetFault(platformtest.StoreBusy)
 		i := launch(d.Address())
 		_, got := i.ask("once")
@@ -38,7 +38,7 @@
 		Eventually(status(i, "once")).Should(Equal(http.StatusOK))
 	})
 
-	It("puts new versions in force, and drops what they drop", func() {
+	It("applies new versions of the configuration, and removes what they omit", func() {
 		i := start(d.Address())
 		d.Config.Routes[0].PathPrefix = "/moved/"
 		d.Put()
@@ -61,7 +61,7 @@
 		Entry("after an older version", `{"Version": 1, "Routes": [], "Services": []}`),
 	)
 
-	DescribeTable("serves on while the store fails, and learns what changed after",
+	DescribeTable("keeps serving while the store fails, and applies changes afterwards",
 		func(fault platformtest.StoreFault) {
 			i := start(d.Address())
 			d.Store.SetFault(fault)
@@ -73,11 +73,11 @@
 		},
 		Entry("with 503", platformtest.StoreBusy),
 		Entry("with 429", platformtest.StoreMany),
-		Entry("in silence", platformtest.StoreSilent),
+		Entry("without a reply", platformtest.StoreSilent),
 		Entry("with resets", platformtest.StoreReset),
 	)
 
-	It("reads all anew when the store has lost its history", func() {
+	It("rereads everything when the store has compacted its history", func() {
 		i := start(d.Address())
 		leaving := d.Of("simple")[0]
 		d.Store.SetFault(platformtest.StoreReset)
@@ -100,7 +100,7 @@
 		Eventually(status(i, "stream")).Should(Equal(http.StatusOK))
 	})
 
-	It("sends a leaving engine nothing new, and lets it end what it has", func() {
+	It("sends a draining engine nothing new, and lets it finish", func() {
 		i := start(d.Address())
 		leaving := d.Of("simple")[0]
 		d.Store.Put("servers/"+leaving.ID, leaving.Entry("draining"))
@@ -165,7 +165,7 @@
 		Expect(d.Runs("simple", id)).To(BeEmpty())
 	})
 
-	It("takes changed settings in, by signal and without one, and refuses bad ones", func() {
+	It("reloads changed settings with and without a signal, and rejects invalid ones", func() {
 		i := start(d.Address())
 		i.signals <- syscall.SIGHUP
 		Expect(os.WriteFile(i.path, []byte("{"), 0o600)).To(Succeed())
@@ -190,7 +190,7 @@
 		))
 	})
 
-	It("bears idle connections", func() {
+	It("tolerates idle connections", func() {
 		i := start(d.Address())
 		for range 200 {
 			i.raw("")
@@ -198,7 +198,7 @@
 		Expect(status(i, "once")()).To(Equal(http.StatusOK))
 	})
 
-	It("answers bytes that are no request with 400", func() {
+	It("answers malformed requests with 400", func() {
 		i := start(d.Address())
 		_, reader := i.raw("\x16\x03\x01 nonsense\r\n\r\n")
 		line, err := reader.ReadString('\n')
@@ -206,7 +206,7 @@
 		Expect(line).To(ContainSubstring("400"))
 	})
 
-	It("refuses heads that are too long", func() {
+	It("rejects headers that are too long", func() {
 		i := start(d.Address())
 		_, reader := i.raw("GET /once/x HTTP/1.1\r\nHost: " + platformtest.Host + "\r\nX-Long: " + strings.Repeat("x", 100<<10) + "\r\n\r\n")
 		line, err := reader.ReadString('\n')
--- a/cmd/cobaltcroftd/gateway/notices_test.go
+++ b/cmd/cobaltcroftd/gateway/notices_test.go
@@ -93,12 +93,12 @@
 	})
 
 	It("that they leave is heeded by instances to which they did not say it, while the store is silent", func() {
-		told := start(d.Address())
-		other := start(d.Address(), told.Peers)
+		first := start(d.Address())
+		other := start(d.Address(), first.Peers)
 		d.Store.SetFault(platformtest.StoreSilent)
 		leaving := d.Of("simple")[0]
 		leaving.Leave()
-		Eventually(func() int { told.ask("once"); return leaving.Arrived() }).ShouldNot(BeZero())
+		Eventually(func() int { first.ask("once"); return leaving.Arrived() }).ShouldNot(BeZero())
 		Eventually(func() int {
 			before := leaving.Arrived()
 			for range 8 {
@@ -229,7 +229,7 @@
 		for time.Now().Before(until) {
 			began := time.Now()
 			_, refused := i.ask("once")
-			Expect(time.Since(began)).To(BeNumerically("<", rest/4), "it is known that none can take it")
+			Expect(time.Since(began)).To(BeNumerically("<", rest/4), "all endpoints are known to be backing off")
 			Expect(refused.Status).To(Equal(http.StatusServiceUnavailable))
 			seconds, err := strconv.ParseFloat(refused.Header.Get("Retry-After"), 64)
 			Expect(err).NotTo(HaveOccurred())
--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -19,7 +19,7 @@
 // IDs and at different instances, are treated as unrelated.
 var _ = Describe("a request that ends the endpoints which run it", func() {
 	const (
-		fatal = "what no endpoint bears"
+		fatal = "a fatal body"
 		// endpoints is the number of endpoints per service, enough for two routes.
 		endpoints = 16
 		// maxCrashes is the number of endpoints that one request may crash: three until it is
@@ -99,7 +99,7 @@
 		}
 	}
 
-	It("is soon refused by all, as not run", func() {
+	It("is refused by all instances, as not run, within the bound", func() {
 		for _, route := range []string{"once", "repeat", "stream", "fixed"} {
 			By("route " + route)
 			expectQuarantined(route)
@@ -127,7 +127,7 @@
 		for _, i := range alone[:3] {
 			Expect(sendFatal(i, "fixed").Status).To(Equal(http.StatusServiceUnavailable))
 		}
-		Expect(sendFatal(alone[3], "fixed").Status).To(Equal(http.StatusBadGateway), "it can't know")
+		Expect(sendFatal(alone[3], "fixed").Status).To(Equal(http.StatusBadGateway), "it has seen no crash itself, so it does not query the store")
 		Expect(sendFatal(alone[3], "fixed").Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(crashed()).To(Equal(4))
 	})
@@ -146,7 +146,7 @@
 		Expect(crashed()).To(BeNumerically("<=", before+1))
 	})
 
-	It("is listed for operators, who let it go at all instances when its endpoints bear it", func() {
+	It("is listed for operators, who can release it at all instances", func() {
 		for n := 0; sendFatal(instances[n%len(instances)], "stream").Status != http.StatusServiceUnavailable; n++ {
 			Expect(crashed()).To(BeNumerically("<=", maxCrashes))
 		}
@@ -169,7 +169,7 @@
 		Expect(body).To(MatchJSON("[]"))
 	})
 
-	DescribeTable("can't be let go by an operator who names none", func(digest string, status int) {
+	DescribeTable("cannot be released with an invalid digest", func(digest string, status int) {
 		got, body := callOperators(instances[0], http.MethodDelete, "/quarantine/"+digest)
 		Expect(got).To(Equal(status))
 		Expect(body).To(ContainSubstring("remedy"))
@@ -179,7 +179,7 @@
 		Entry("one that is not refused", strings.Repeat("0f", 16), http.StatusNotFound),
 	)
 
-	It("has no stage made for it once it is known", func() {
+	It("runs no stages once it is quarantined", func() {
 		staged := func(i *instance) answer {
 			r := i.request(http.MethodPost, "staged", newID(), fatal)
 			r.Header.Set("Cobaltcroft-Pieces", "1,1,1,1")
@@ -202,7 +202,7 @@
 		Expect(made()).To(Equal(before))
 	})
 
-	It("takes no request with it that ran well there, or that comes after", func() {
+	It("does not affect other requests", func() {
 		for _, e := range d.Of("model") {
 			e.SetTimes(time.Millisecond, 60*time.Millisecond)
 		}
