--- /dev/null
+++ b/cmd/cobaltcroftd/gateway/gossip.go
@@ -0,0 +1,56 @@
+package gateway
+
+import (
+	"github.com/cobaltcroft/cobaltcroft/pkg/discovery"
+	"github.com/cobaltcroft/cobaltcroft/pkg/group"
+	"github.com/cobaltcroft/cobaltcroft/pkg/membership"
+	"github.com/cobaltcroft/cobaltcroft/pkg/ownership"
+	"github.com/cobaltcroft/cobaltcroft/pkg/throttle"
+)
+
+// groupSettings configures what this instance sends in its heartbeats and how it processes those of
+// others.
+func (g *Gateway) groupSettings(self membership.Self) group.Settings {
+	return group.Settings{
+		Self:           self,
+		Contacts:       g.settings.Peers,
+		Heartbeat:      heartbeat,
+		SuspectAfter:   suspectAfter,
+		Claims:         g.claims,
+		HeardClaims:    g.receiveClaims,
+		Division:       g.division,
+		HeardDivision:  g.receiveDivision,
+		Revision:       g.documentRevision,
+		HeardRevision:  g.receiveRevision,
+		Ends:           g.quarantine.Recent,
+		HeardEnds:      g.quarantine.Merge,
+		Departing:      g.departing,
+		HeardDeparting: g.receiveDeparting,
+		Limits:         g.recentLimits,
+		HeardLimits:    g.receiveLimits,
+	}
+}
+
+// claims and receiveClaims exchange the owners of partitions. Heartbeats start after all components
+// exist.
+func (g *Gateway) claims() []ownership.Claim             { return g.router.Claims() }
+func (g *Gateway) receiveClaims(heard []ownership.Claim) { g.router.HearClaims(heard) }
+
+// division and receiveDivision exchange the partitioning of endpoints.
+func (g *Gateway) division() ownership.Division             { return g.router.Division() }
+func (g *Gateway) receiveDivision(heard ownership.Division) { g.router.HearDivision(heard) }
+
+// documentRevision and receiveRevision exchange the revision of the configuration in force.
+func (g *Gateway) documentRevision() uint64 { return g.follower.View().Document.Revision }
+func (g *Gateway) receiveRevision(r uint64) { g.follower.Heard(r) }
+
+// departing and receiveDeparting exchange the endpoints that have announced to leave.
+func (g *Gateway) departing(n int) []string { return g.follower.Departing(n) }
+
+func (g *Gateway) receiveDeparting(incarnations []string) {
+	g.follower.Depart(discovery.Peer, incarnations...)
+}
+
+// recentLimits and receiveLimits exchange the rate limits of endpoints.
+func (g *Gateway) recentLimits(n int) []throttle.Limit   { return g.rateLimits.Gossip(n) }
+func (g *Gateway) receiveLimits(limits []throttle.Limit) { g.rateLimits.Merge(limits) }
--- /dev/null
+++ b/pkg/gateway/crash.go
@@ -0,0 +1,91 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"github.com/cobaltcroft/cobaltcroft/pkg/balance"
+	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
+	"github.com/cobaltcroft/cobaltcroft/pkg/httpconn"
+	"github.com/cobaltcroft/cobaltcroft/pkg/quarantine"
+)
+
+const (
+	// crashProbeTimeout limits how long a client waits for the probe of an endpoint whose
+	// connection broke. An endpoint whose process has exited refuses within one round trip.
+	crashProbeTimeout = 100 * time.Millisecond
+	// harmlessAfter is how long a stream must run after its first event before its request is
+	// considered harmless. Requests that crash endpoints do so earlier.
+	harmlessAfter = 300 * time.Millisecond
+)
+
+// crashCheck tracks whether an attempt has shown that the request does not crash endpoints.
+type crashCheck struct {
+	// firstEvent is the time of the first event, or zero.
+	firstEvent time.Time
+	harmless   bool
+}
+
+// computeDigest returns the request's digest. It uses the host of the route, because a client can
+// spell the host in several ways.
+func (u *run) computeDigest() quarantine.Digest {
+	caller := ""
+	if u.organisation != nil {
+		caller = u.organisation.Name
+	}
+	return quarantine.Sum(caller, u.route.Host, u.request.URI, u.request.Body)
+}
+
+// connBrokenResult returns the result for a broken connection. If the context has ended, the
+// gateway itself closed the connection.
+func connBrokenResult(ctx context.Context) attemptResult {
+	return either(ctx.Err() == nil, resultConnBroken, resultFailed)
+}
+
+// eventsReceived marks the request as harmless once its stream has run long enough.
+func (u *run) eventsReceived() {
+	if u.crash.harmless {
+		return
+	}
+	now := u.Clock.Now()
+	if u.crash.firstEvent.IsZero() {
+		u.crash.firstEvent = now
+	}
+	if now.Sub(u.crash.firstEvent) >= harmlessAfter {
+		u.markHarmless()
+	}
+}
+
+// markHarmless records that the request ran without crashing its endpoint, which clears earlier
+// crashes.
+func (u *run) markHarmless() {
+	u.crash.harmless = true
+	u.Quarantine.Clear(u.digest)
+}
+
+// probeEndpoint checks whether an endpoint whose connection broke has crashed, and if so records
+// the crash for the request. A broken connection alone does not prove a crash.
+func (u *run) probeEndpoint(ctx context.Context, call *balance.Call) {
+	if u.crash.harmless {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, crashProbeTimeout)
+	defer cancel()
+	state := u.Conns.Probe(ctx, u.target(call))
+	if state == httpconn.Ended && u.expectedUp(call.Endpoint) {
+		u.Quarantine.RecordCrash(u.digest, call.Endpoint.ID)
+	}
+	u.Log.WithFields(logrus.Fields{
+		"event": "endpoint_broke_off", "id": u.request.ID, "digest": u.digest.String(), "endpoint": call.Endpoint.ID,
+		"sign": string(state), "ends": u.Quarantine.CrashCount(u.digest),
+	}).Info()
+}
+
+// expectedUp reports whether the endpoint was expected to keep running. A draining endpoint exits
+// on its own and interrupts what it still runs.
+func (u *run) expectedUp(e fleet.Endpoint) bool {
+	known, ok := u.View().Fleet.Endpoint(e.ID)
+	return ok && !known.Leaving
+}
--- /dev/null
+++ b/pkg/quarantine/manager.go
@@ -0,0 +1,144 @@
+package quarantine
+
+import (
+	"context"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+	"github.com/sirupsen/logrus"
+)
+
+const (
+	// loadTimeout limits how long a request waits for the store.
+	loadTimeout = 50 * time.Millisecond
+	// writeTimeout limits one write. A failed write is attempted maxWriteAttempts times in total,
+	// with a delay that outlasts a short outage of the store.
+	writeTimeout     = time.Second
+	maxWriteAttempts = 5
+	writeRetryDelay  = 500 * time.Millisecond
+	// writeQueueSize limits the queue of crashes to be written, maxWriteBatch the crashes per
+	// write.
+	writeQueueSize = 256
+	maxWriteBatch  = 32
+)
+
+// Store persists crashes for instances that cannot reach each other: during a network partition, or
+// after all instances have restarted. It may discard them after ten minutes.
+type Store interface {
+	// SaveCrashes writes crashes.
+	SaveCrashes(ctx context.Context, crashes []Crash) error
+	// LoadCrashes returns the crashes of a request.
+	LoadCrashes(ctx context.Context, d Digest) ([]Crash, error)
+}
+
+// Manager is a Table that shares its changes with the other instances and a store. It is safe for
+// concurrent use.
+type Manager struct {
+	*Table
+	store Store
+	// broadcast sends recent changes of the table to all other instances.
+	broadcast func()
+	clock     clockwork.Clock
+	log       *logrus.Entry
+	// pendingWrites is the queue of crashes to be written.
+	pendingWrites chan Crash
+}
+
+// NewManager returns a Manager for a table. broadcast sends recent changes of the table to all other
+// instances and must not block.
+func NewManager(table *Table, store Store, broadcast func(), clock clockwork.Clock, log *logrus.Entry) *Manager {
+	return &Manager{Table: table, store: store, broadcast: broadcast, clock: clock, log: log, pendingWrites: make(chan Crash, writeQueueSize)}
+}
+
+// RecordCrash records a crash observed by this instance.
+func (m *Manager) RecordCrash(d Digest, incarnation string) {
+	m.Table.RecordCrash(d, incarnation)
+	m.publish([]Crash{{Digest: d, Incarnation: incarnation}})
+}
+
+// Clear records that a request ran without crashing its endpoint.
+func (m *Manager) Clear(d Digest) {
+	if m.Table.Clear(d) {
+		m.publish(m.Table.crashesOf(d))
+	}
+}
+
+// publish broadcasts changes and queues crashes to be written.
+func (m *Manager) publish(crashes []Crash) {
+	m.broadcast()
+	for _, e := range crashes {
+		select {
+		case m.pendingWrites <- e:
+		default:
+			m.log.WithFields(logrus.Fields{"event": "end_not_kept", "digest": e.Digest.String()}).Warn("the write queue is full")
+		}
+	}
+}
+
+// LoadCrashes loads the crashes of a request from the store if the request has some but is not
+// quarantined: unreachable instances may have seen the others. This limits the crashes on each side
+// of a partition, and after a restart of all instances, to one.
+func (m *Manager) LoadCrashes(ctx context.Context, d Digest) {
+	if !m.IsSuspect(d) || m.IsQuarantined(d) {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+	defer cancel()
+	crashes, err := m.store.LoadCrashes(ctx, d)
+	if err != nil {
+		m.log.WithFields(logrus.Fields{"event": "ends_not_recalled", "digest": d.String()}).Info(err)
+		return
+	}
+	m.Merge(crashes)
+}
+
+// Run writes crashes to the store until ctx ends.
+func (m *Manager) Run(ctx context.Context) {
+	for {
+		select {
+		case e := <-m.pendingWrites:
+			m.writeWithRetry(ctx, m.collectBatch(e))
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// collectBatch returns a crash and those queued after it.
+func (m *Manager) collectBatch(first Crash) []Crash {
+	crashes := []Crash{first}
+	for len(crashes) < maxWriteBatch {
+		select {
+		case e := <-m.pendingWrites:
+			crashes = append(crashes, e)
+		default:
+			return crashes
+		}
+	}
+	return crashes
+}
+
+// writeWithRetry writes crashes and retries failed writes.
+func (m *Manager) writeWithRetry(ctx context.Context, crashes []Crash) {
+	for attempt := 1; ; attempt++ {
+		err := m.write(ctx, crashes)
+		if err == nil || ctx.Err() != nil {
+			return
+		}
+		m.log.WithFields(logrus.Fields{"event": "ends_not_kept", "ends": len(crashes), "try": attempt}).Warn(err)
+		if attempt == maxWriteAttempts {
+			return
+		}
+		select {
+		case <-m.clock.After(writeRetryDelay):
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+func (m *Manager) write(ctx context.Context, crashes []Crash) error {
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
+	defer cancel()
+	return m.store.SaveCrashes(ctx, crashes)
+}
--- a/service/ingress/answer_test.go
+++ b/service/ingress/answer_test.go
@@ -48,8 +48,8 @@
 
 	It("is broken off, not ended as if it were whole, if its run panicked within the answer", func() {
 		response, err := ask(func(r gateway.Responder) {
-			Expect(r.Begin(http.StatusOK, http.Header{})).To(Succeed())
-			Expect(r.Event([]byte("data: 1\n\n"))).To(Succeed())
+			Expect(r.StartStream(http.StatusOK, http.Header{})).To(Succeed())
+			Expect(r.WriteEvents([]byte("data: 1\n\n"))).To(Succeed())
 			panic("a fault of ours")
 		})
 		Expect(err).NotTo(HaveOccurred())
@@ -58,7 +58,7 @@
 	})
 
 	It("is told to leave its connection sooner than that is closed", func() {
-		response, err := ask(func(r gateway.Responder) { r.Whole(http.StatusOK, http.Header{}, nil) })
+		response, err := ask(func(r gateway.Responder) { r.Respond(http.StatusOK, http.Header{}, nil) })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Header.Get("Keep-Alive")).To(Equal("timeout=10"))
 	})
--- a/service/ingress/ingress.go
+++ b/service/ingress/ingress.go
@@ -165,7 +165,7 @@
 		}
 		f.Log.WithFields(logrus.Fields{"event": "request_unanswered", "id": request.ID, "begun": writer.answered, "fault": fault}).Error()
 		if writer.answered {
-			writer.Break()
+			writer.Abort()
 			return
 		}
 		f.refuse(writer, request, failInternal())
@@ -214,7 +214,7 @@
 	if refusal := readBody(writer, r, request, limit, held); refusal != nil {
 		return refusal
 	}
-	wait := request.Wait
+	wait := request.MaxWait
 	if wait == 0 {
 		wait = defaultWait
 	}
@@ -266,5 +266,5 @@
 	if refusal.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(refusal.RetryAfter.Seconds(), 'f', 3, 64))
 	}
-	writer.Whole(refusal.Status, h, []byte(refusal.Error()+"\n"))
+	writer.Respond(refusal.Status, h, []byte(refusal.Error()+"\n"))
 }
--- a/service/ingress/responder.go
+++ b/service/ingress/responder.go
@@ -18,8 +18,8 @@
 
 var _ gateway.Responder = (*responder)(nil)
 
-// Whole implements gateway.Responder.
-func (r *responder) Whole(status int, h http.Header, body []byte) {
+// Respond implements gateway.Responder.
+func (r *responder) Respond(status int, h http.Header, body []byte) {
 	r.answered = true
 	r.head(h)
 	if status != http.StatusNoContent && status != http.StatusNotModified {
@@ -30,8 +30,8 @@
 	_, _ = r.writer.Write(body)
 }
 
-// Begin implements gateway.Responder. The head goes out with the first event.
-func (r *responder) Begin(status int, h http.Header) error {
+// StartStream implements gateway.Responder. The head goes out with the first event.
+func (r *responder) StartStream(status int, h http.Header) error {
 	r.answered = true
 	r.head(h)
 	r.writer.WriteHeader(status)
@@ -49,13 +49,13 @@
 	}
 }
 
-// Event implements gateway.Responder.
-func (r *responder) Event(data []byte) error {
+// WriteEvents implements gateway.Responder.
+func (r *responder) WriteEvents(data []byte) error {
 	if _, err := r.writer.Write(data); err != nil {
 		return err
 	}
 	return r.control.Flush()
 }
 
-// Break implements gateway.Responder.
-func (r *responder) Break() { r.answered, r.broken = true, true }
+// Abort implements gateway.Responder.
+func (r *responder) Abort() { r.answered, r.broken = true, true }
