--- a/pkg/batch/backoff_test.go
+++ b/pkg/batch/backoff_test.go
@@ -61,7 +61,7 @@
 		Expect(c.endpoint).To(Equal("b"))
 		submit("r2")
 		expectNoCall()
-		Expect(b.Capacity(queue)).To(SatisfyAll(HaveField("AtOnce", 4), HaveField("Rest", BeZero())), "the capacity of one endpoint")
+		Expect(b.Capacity(queue)).To(SatisfyAll(HaveField("AtOnce", 4), HaveField("Backoff", BeZero())), "the capacity of one endpoint")
 		c.complete()
 		Expect(nextCall().endpoint).To(Equal("b"))
 		e.setBackoff("a", 0)
@@ -77,7 +77,7 @@
 		results := <-made
 		e.setBackoff("b", time.Second)
 		e.setBackoff("a", 2*time.Second)
-		Expect(b.Capacity(queue)).To(SatisfyAll(HaveField("AtOnce", 0), HaveField("Rest", time.Second)))
+		Expect(b.Capacity(queue)).To(SatisfyAll(HaveField("AtOnce", 0), HaveField("Backoff", time.Second)))
 		e.setBackoff("a", 0)
 		b.Free(results)
 		b.Tick()
