--- a/pkg/discovery/departing.go
+++ b/pkg/discovery/departing.go
@@ -10,58 +10,59 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-// departedFor is how long after it was heard of a life that has said that it leaves is remembered, though the
-// source does not list it: its entry may lapse in an outage and come back as it was. Endpoints serve on for many
-// seconds after they have said so.
-const departedFor = 10 * time.Minute
+// departureRetention is how long a reported departure is kept for an endpoint that the source does
+// not list. The entry of a departing endpoint may expire during an outage and be registered again
+// without the leaving flag.
+const departureRetention = 10 * time.Minute
 
-// Teller is who told that an endpoint leaves.
+// Teller identifies how a departure was learned.
 type Teller string
 
-// The tellers.
+// Values of Teller.
 const (
 	Answer Teller = "answer"
 	Peer   Teller = "peer"
 )
 
-// departures collect what endpoints said of their leaving, here or to a peer, until the goroutine that owns
-// the view takes it. Safe for concurrent use.
+// departures collects departures reported by endpoints or peers until the goroutine that owns the
+// view applies them. It is safe for concurrent use.
 type departures struct {
 	mu sync.Mutex
-	// waiting are lives that the view does not have yet.
-	waiting map[string]Teller
-	// news wakes the owner of the view.
-	news chan struct{}
-	// heard is when a life was heard of; it belongs to the owner of the view.
-	heard map[string]time.Time
+	// pending holds endpoint IDs that are not applied to the view yet.
+	pending map[string]Teller
+	// notify wakes the goroutine that owns the view.
+	notify chan struct{}
+	// seen maps endpoint IDs to the time of the last report. Only the goroutine that owns the view
+	// accesses it.
+	seen map[string]time.Time
 }
 
 func newDepartures() *departures {
-	return &departures{waiting: map[string]Teller{}, news: make(chan struct{}, 1), heard: map[string]time.Time{}}
+	return &departures{pending: map[string]Teller{}, notify: make(chan struct{}, 1), seen: map[string]time.Time{}}
 }
 
 func (d *departures) add(from Teller, lives []string) {
 	d.mu.Lock()
 	for _, life := range lives {
-		d.waiting[life] = from
+		d.pending[life] = from
 	}
 	d.mu.Unlock()
 	select {
-	case d.news <- struct{}{}:
+	case d.notify <- struct{}{}:
 	default:
 	}
 }
 
-func (d *departures) take() map[string]Teller {
+func (d *departures) drain() map[string]Teller {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	waiting := d.waiting
-	d.waiting = map[string]Teller{}
+	waiting := d.pending
+	d.pending = map[string]Teller{}
 	return waiting
 }
 
-// Depart takes in that lives of endpoints have said in answers that they leave: to this instance, or to a peer
-// that tells so. It does not block.
+// Depart records that endpoints have announced their departure, in a response to this instance or
+// through a peer. It does not block.
 func (f *Follower) Depart(from Teller, lives ...string) {
 	known := f.View().listed
 	var unknown []string
@@ -75,8 +76,9 @@
 	}
 }
 
-// Departing returns up to n lives that have said in answers that they leave, though the source does not say
-// so: others are to be told of those. Each time others are chosen.
+// Departing returns up to n IDs of endpoints that have announced their departure in a response but
+// are not listed as leaving by the source. If there are more, it returns a random selection, so
+// that repeated calls cover all of them.
 func (f *Follower) Departing(n int) []string {
 	undeclared := f.View().listed.Undeclared()
 	if len(undeclared) <= n {
@@ -86,32 +88,32 @@
 	return undeclared[:n]
 }
 
-// Departures is how many lives have said in answers that they leave, and are remembered.
+// Departures returns the number of recorded departures.
 func (f *Follower) Departures() int { return f.View().listed.Departures() }
 
-// departNews says that lives wait which have said that they leave.
-type departNews struct{}
+// departuresUpdate applies the pending departures.
+type departuresUpdate struct{}
 
-func (departNews) apply(f *Follower, view *View) func() {
+func (departuresUpdate) apply(f *Follower, view *View) func() {
 	now := f.clock.Now()
-	for life, from := range f.departures.take() {
-		if _, known := f.departures.heard[life]; !known {
+	for life, from := range f.departures.drain() {
+		if _, known := f.departures.seen[life]; !known {
 			e, listed := view.listed.Endpoint(life)
 			f.log.WithFields(logrus.Fields{"event": "endpoint_leaves", "endpoint": life, "service": e.Service, "listed": listed, "from": string(from)}).Info()
 		}
-		f.departures.heard[life] = now
+		f.departures.seen[life] = now
 	}
-	all := f.departures.remember(now, view.listed)
-	view.change(func(s *fleet.Snapshot) *fleet.Snapshot { return s.Depart(all) })
+	all := f.departures.prune(now, view.listed)
+	view.updateSnapshots(func(s *fleet.Snapshot) *fleet.Snapshot { return s.Depart(all) })
 	return nil
 }
 
-// remember returns the lives that are to be remembered, and forgets the others.
-func (d *departures) remember(now time.Time, listed *fleet.Snapshot) fleet.Departures {
-	all := make(fleet.Departures, len(d.heard))
-	for life, at := range d.heard {
-		if _, still := listed.Endpoint(life); !still && now.Sub(at) > departedFor {
-			delete(d.heard, life)
+// prune drops departures that have expired and returns the remaining ones.
+func (d *departures) prune(now time.Time, listed *fleet.Snapshot) fleet.Departures {
+	all := make(fleet.Departures, len(d.seen))
+	for life, at := range d.seen {
+		if _, still := listed.Endpoint(life); !still && now.Sub(at) > departureRetention {
+			delete(d.seen, life)
 			continue
 		}
 		all[life] = true
--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -25,90 +25,92 @@
 	RunSpecs(t, "discovery")
 }
 
-var errOut = errors.New("out")
+var errUnavailable = errors.New("out")
 
-// held is what a source or a peer has.
-type held struct {
+// sourceState is the state of a source or a peer.
+type sourceState struct {
 	Revision  uint64
 	Document  discovery.Document
 	Endpoints []fleet.Endpoint
-	// Evacuated are sorted.
+	// Evacuated is sorted.
 	Evacuated []string
-	// Rollouts are sorted by service.
+	// Rollouts is sorted by service.
 	Rollouts []fleet.Rollout
 }
 
-// source is a source, or the peers, whose state the test sets.
-type source struct {
-	mu    sync.Mutex
-	state held
-	out   bool
-	// gone and documentGone have the next watch of each kind told that history is gone.
-	gone         bool
-	documentGone bool
-	// tardy has answers come when the time of their calls is over.
-	tardy   bool
-	relays  []string
-	watches int
-	relayed int
-	age     time.Duration
-	// told has which failure domains were evacuated as of each revision that was told; orders, if
-	// they are set, are what a watch is told instead.
-	told   map[uint64][]string
-	orders []fleet.Evacuation
-	// silentOnOrders has peers tell of no evacuations, as an older version of the program does.
+// fakeSource is a source or a peer whose state is set by the test.
+type fakeSource struct {
+	mu          sync.Mutex
+	state       sourceState
+	unavailable bool
+	// historyGone and documentHistoryGone make the next watch of that kind return ErrHistoryGone.
+	historyGone         bool
+	documentHistoryGone bool
+	// answersLate delays responses until the context of the call is done.
+	answersLate bool
+	relays      []string
+	watches     int
+	relayCalls  int
+	age         time.Duration
+	// evacuatedAt maps returned revisions to the evacuated failure domains. If set, orders is
+	// returned by watches instead.
+	evacuatedAt map[uint64][]string
+	orders      []fleet.Evacuation
+	// silentOnOrders omits evacuations and rollouts, as old versions do.
 	silentOnOrders bool
-	// silentOnRollouts has them tell of evacuations alone, as a later one does.
+	// silentOnRollouts omits rollouts, as versions before rollouts do.
 	silentOnRollouts bool
 }
 
-func (s *source) set(change func(*source)) {
+func (s *fakeSource) set(change func(*fakeSource)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s)
 }
 
-// forget has both watches told that history is gone, and sets what is there then.
-func (s *source) forget(next held) {
-	s.set(func(s *source) { s.out, s.gone, s.documentGone, s.state = false, true, true, next })
+// loseHistory sets a new state and makes the next watch of both kinds return ErrHistoryGone.
+func (s *fakeSource) loseHistory(next sourceState) {
+	s.set(func(s *fakeSource) {
+		s.unavailable, s.historyGone, s.documentHistoryGone, s.state = false, true, true, next
+	})
 }
 
-func (s *source) read() (held, bool) {
+func (s *fakeSource) read() (sourceState, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state, s.out
+	return s.state, s.unavailable
 }
 
-func (s *source) State(context.Context, discovery.Progress) (discovery.State, error) {
+func (s *fakeSource) State(context.Context, discovery.Progress) (discovery.State, error) {
 	state, out := s.read()
 	if out {
-		return discovery.State{}, errOut
+		return discovery.State{}, errUnavailable
 	}
 	return discovery.State{Revision: state.Revision, Endpoints: state.Endpoints}, nil
 }
 
-func (s *source) Document(context.Context, discovery.Progress) (discovery.Newest, error) {
+func (s *fakeSource) Document(context.Context, discovery.Progress) (discovery.Newest, error) {
 	state, out := s.read()
 	if out {
-		return discovery.Newest{}, errOut
+		return discovery.Newest{}, errUnavailable
 	}
-	s.tell(state)
-	return discovery.Newest{At: state.Revision, Document: state.Document, Evacuations: commonTo(nil, state.Evacuated), Rollouts: ordersOf(state.Rollouts)}, nil
+	s.recordEvacuated(state)
+	return discovery.Newest{At: state.Revision, Document: state.Document, Evacuations: ordersBetween(nil, state.Evacuated), Rollouts: ordersOf(state.Rollouts)}, nil
 }
 
-// tell notes what was told as of a revision.
-func (s *source) tell(state held) {
-	s.set(func(s *source) {
-		if s.told == nil {
-			s.told = map[uint64][]string{}
+// recordEvacuated records the evacuated failure domains returned as of a revision.
+func (s *fakeSource) recordEvacuated(state sourceState) {
+	s.set(func(s *fakeSource) {
+		if s.evacuatedAt == nil {
+			s.evacuatedAt = map[uint64][]string{}
 		}
-		s.told[state.Revision] = state.Evacuated
+		s.evacuatedAt[state.Revision] = state.Evacuated
 	})
 }
 
-func (s *source) Watch(ctx context.Context, since uint64, wait time.Duration, _ discovery.Progress) (discovery.Changes, error) {
-	s.set(func(s *source) { s.watches++ })
-	state, err := s.await(ctx, since, wait, &s.gone)
+func (s *fakeSource) Watch(ctx context.Context, since uint64, wait time.Duration, _ discovery.Progress) (discovery.Changes, error) {
+	s.set(func(s *fakeSource) { s.watches++ })
+	state, err := s.await(ctx, since, wait, &s.historyGone)
 	changes := discovery.Changes{Revision: state.Revision}
 	for _, e := range state.Endpoints {
 		changes.Endpoints = append(changes.Endpoints, fleet.Change{Endpoint: e})
@@ -116,31 +118,31 @@
 	return changes, err
 }
 
-func (s *source) WatchDocument(ctx context.Context, since uint64, wait time.Duration, _ discovery.Progress) (discovery.Newest, error) {
-	state, err := s.await(ctx, since, wait, &s.documentGone)
+func (s *fakeSource) WatchDocument(ctx context.Context, since uint64, wait time.Duration, _ discovery.Progress) (discovery.Newest, error) {
+	state, err := s.await(ctx, since, wait, &s.documentHistoryGone)
 	newest := discovery.Newest{At: state.Revision}
 	if state.Document.Revision > since {
 		newest.Document = state.Document
 	}
-	newest.Evacuations = s.given(since, state)
+	newest.Evacuations = s.ordersSince(since, state)
 	newest.Rollouts = ordersOf(state.Rollouts)
-	s.tell(state)
+	s.recordEvacuated(state)
 	return newest, err
 }
 
-// await returns what is there as soon as it is newer than a revision, or after a time.
-func (s *source) await(ctx context.Context, since uint64, wait time.Duration, gone *bool) (held, error) {
+// await returns the state once it is newer than a revision or the wait time has expired.
+func (s *fakeSource) await(ctx context.Context, since uint64, wait time.Duration, gone *bool) (sourceState, error) {
 	until := time.Now().Add(wait)
 	for {
 		state, out := s.read()
 		if out {
-			return held{}, errOut
+			return sourceState{}, errUnavailable
 		}
-		if s.take(gone) {
-			return held{}, discovery.ErrHistoryGone
+		if s.consume(gone) {
+			return sourceState{}, discovery.ErrHistoryGone
 		}
 		if state.Revision > since || time.Now().After(until) {
-			if s.isTardy() {
+			if s.isLate() {
 				<-ctx.Done()
 				return state, nil
 			}
@@ -150,14 +152,14 @@
 	}
 }
 
-func (s *source) isTardy() bool {
+func (s *fakeSource) isLate() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tardy
+	return s.answersLate
 }
 
-// take returns a flag and takes it down.
-func (s *source) take(flag *bool) bool {
+// consume returns and resets a flag.
+func (s *fakeSource) consume(flag *bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	was := *flag
@@ -165,24 +167,24 @@
 	return was
 }
 
-func (*source) Decode(d discovery.Document) (route.Config, error) {
+func (*fakeSource) Decode(d discovery.Document) (route.Config, error) {
 	var config route.Config
 	err := json.Unmarshal(d.Data, &config)
 	return config, err
 }
 
-// peersOf gives what a source holds, as peers.
-type peersOf struct{ *source }
+// fakePeers exposes a source as peers.
+type fakePeers struct{ *fakeSource }
 
-// oldness is how long ago the peers heard of the source.
-func (p peersOf) oldness() time.Duration {
+// stateAge returns the age of the peers' confirmation by the source.
+func (p fakePeers) stateAge() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.age
 }
 
-func (p peersOf) mark(state held) discovery.Mark {
-	mark := discovery.Mark{Revision: state.Document.Revision, At: state.Revision, Age: p.oldness(), Newest: state.Document.Revision}
+func (p fakePeers) status(state sourceState) discovery.Mark {
+	mark := discovery.Mark{Revision: state.Document.Revision, At: state.Revision, Age: p.stateAge(), Newest: state.Document.Revision}
 	p.mu.Lock()
 	if !p.silentOnOrders {
 		mark.Evacuations = fleet.Evacuations{Revision: state.Revision, Domains: state.Evacuated}
@@ -194,12 +196,12 @@
 	return mark
 }
 
-func (p peersOf) State(_ context.Context, newerThan uint64) (discovery.Known, error) {
+func (p fakePeers) State(_ context.Context, newerThan uint64) (discovery.Known, error) {
 	state, out := p.read()
 	if out {
-		return discovery.Known{}, errOut
+		return discovery.Known{}, errUnavailable
 	}
-	known := discovery.Known{Age: p.oldness(), Mark: p.mark(state)}
+	known := discovery.Known{Age: p.stateAge(), Mark: p.status(state)}
 	known.State.Revision, known.Same = state.Revision, state.Revision == newerThan
 	if state.Revision > newerThan {
 		known.State.Endpoints = state.Endpoints
@@ -207,33 +209,33 @@
 	return known, nil
 }
 
-func (p peersOf) Relay(ctx context.Context, _ string, selection discovery.RelaySelect) (discovery.Relayed, error) {
-	p.set(func(s *source) { s.relayed++ })
+func (p fakePeers) Relay(ctx context.Context, _ string, selection discovery.RelaySelect) (discovery.Relayed, error) {
+	p.set(func(s *fakeSource) { s.relayCalls++ })
 	changes, err := p.Watch(ctx, selection.Since, selection.Wait, nil)
 	state, _ := p.read()
-	return discovery.Relayed{Changes: changes, Age: p.oldness(), Mark: p.mark(state)}, err
+	return discovery.Relayed{Changes: changes, Age: p.stateAge(), Mark: p.status(state)}, err
 }
 
-func (p peersOf) Relays() []string {
+func (p fakePeers) Relays() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.relays
 }
 
-func (p peersOf) Holders(newerThan uint64) []string {
+func (p fakePeers) Holders(newerThan uint64) []string {
 	if state, out := p.read(); out || state.Document.Revision <= newerThan {
 		return nil
 	}
 	return []string{"peer"}
 }
 
-func (p peersOf) Piece(_ context.Context, _ string, selection discovery.PieceSelect) (discovery.Piece, error) {
+func (p fakePeers) Piece(_ context.Context, _ string, selection discovery.PieceSelect) (discovery.Piece, error) {
 	state, out := p.read()
 	if out {
-		return discovery.Piece{}, errOut
+		return discovery.Piece{}, errUnavailable
 	}
-	piece := discovery.Piece{Mark: p.mark(state)}
-	if state.Document.Revision <= selection.NewerThan || selection.MaxAge > 0 && p.oldness() > selection.MaxAge {
+	piece := discovery.Piece{Mark: p.status(state)}
+	if state.Document.Revision <= selection.NewerThan || selection.MaxAge > 0 && p.stateAge() > selection.MaxAge {
 		return piece, nil
 	}
 	digest, data := discovery.Pack(state.Document)
@@ -241,7 +243,7 @@
 	return piece, nil
 }
 
-func (peersOf) Announce() {}
+func (fakePeers) Announce() {}
 
 func document(revision, version uint64) discovery.Document {
 	data, err := json.Marshal(route.Config{Version: version})
@@ -249,8 +251,8 @@
 	return discovery.Document{Revision: revision, Data: data}
 }
 
-func state(revision, documentRevision, version uint64, endpoints ...string) held {
-	s := held{Revision: revision, Document: document(documentRevision, version)}
+func state(revision, documentRevision, version uint64, endpoints ...string) sourceState {
+	s := sourceState{Revision: revision, Document: document(documentRevision, version)}
 	for _, id := range endpoints {
 		s.Endpoints = append(s.Endpoints, fleet.Endpoint{ID: id, Service: "s"})
 	}
@@ -259,13 +261,13 @@
 
 var _ = Describe("a follower", func() {
 	var (
-		store, peers *source
+		store, peers *fakeSource
 		f            *discovery.Follower
 	)
 
 	BeforeEach(func() {
-		store, peers = &source{}, &source{out: true}
-		f = discovery.New(store, peersOf{peers}, clockwork.NewRealClock(), logging.Discard().For("discovery"))
+		store, peers = &fakeSource{}, &fakeSource{unavailable: true}
+		f = discovery.New(store, fakePeers{peers}, clockwork.NewRealClock(), logging.Discard().For("discovery"))
 		var t tomb.Tomb
 		t.Go(func() error { return f.Run(&t) })
 		DeferCleanup(func() {
@@ -280,12 +282,13 @@
 		}
 		return f.View().Table.Version
 	}
-	// listed is the revision of the endpoints, which come apart from the configuration.
+	// listed returns the revision of the endpoints, which are delivered separately from the
+	// configuration.
 	listed := func() uint64 { return f.View().Fleet.Revision }
 	ready := func() int { return len(f.View().Fleet.Ready("s")) }
-	put := func(s *source, next held) { s.set(func(s *source) { s.state = next }) }
+	put := func(s *fakeSource, next sourceState) { s.set(func(s *fakeSource) { s.state = next }) }
 
-	It("takes versions and endpoints in as they come, never backward", func() {
+	It("applies versions and endpoints as they arrive, never backward", func() {
 		put(store, state(5, 4, 3, "a"))
 		Eventually(version).Should(Equal(uint64(3)))
 		put(store, state(9, 8, 7, "a", "b"))
@@ -295,53 +298,53 @@
 		Consistently(version).WithTimeout(300 * time.Millisecond).Should(Equal(uint64(7)))
 	})
 
-	It("takes no older state from a peer", func() {
+	It("ignores older state from a peer", func() {
 		put(store, state(9, 8, 7, "a"))
 		Eventually(version).Should(Equal(uint64(7)))
 		Eventually(ready).Should(Equal(1))
-		store.set(func(s *source) { s.out = true })
-		peers.set(func(s *source) { s.out, s.state = false, state(5, 4, 3) })
+		store.set(func(s *fakeSource) { s.unavailable = true })
+		peers.set(func(s *fakeSource) { s.unavailable, s.state = false, state(5, 4, 3) })
 		Consistently(version).WithTimeout(2500 * time.Millisecond).Should(Equal(uint64(7)))
 		Expect(ready()).To(Equal(1))
 	})
 
-	It("learns from peers while the source is out, with the peers' age", func() {
-		store.set(func(s *source) { s.out = true })
-		peers.set(func(s *source) { s.out, s.state, s.age = false, state(5, 4, 3, "a"), time.Second })
+	It("uses state from peers with its age while the source is unavailable", func() {
+		store.set(func(s *fakeSource) { s.unavailable = true })
+		peers.set(func(s *fakeSource) { s.unavailable, s.state, s.age = false, state(5, 4, 3, "a"), time.Second })
 		Eventually(version).Should(Equal(uint64(3)))
 		Expect(f.View().Age(time.Now())).To(BeNumerically(">=", time.Second))
 		Expect(f.View().Age(time.Now())).To(BeNumerically("<", 3*time.Second))
 	})
 
-	It("does not rely on a peer that has not heard of the source itself", func() {
-		store.set(func(s *source) { s.out = true })
-		peers.set(func(s *source) { s.out, s.state, s.age = false, state(5, 4, 3, "a"), time.Minute })
+	It("rejects the first state from a peer that has lost the source itself", func() {
+		store.set(func(s *fakeSource) { s.unavailable = true })
+		peers.set(func(s *fakeSource) { s.unavailable, s.state, s.age = false, state(5, 4, 3, "a"), time.Minute })
 		Consistently(version).WithTimeout(800 * time.Millisecond).Should(BeZero())
 	})
 
-	It("reads all anew when the history is gone", func() {
+	It("reads everything again when the history is gone", func() {
 		put(store, state(5, 4, 3, "a"))
 		Eventually(ready).Should(Equal(1))
-		store.forget(state(9, 8, 7, "b"))
+		store.loseHistory(state(9, 8, 7, "b"))
 		Eventually(func() bool { return f.View().Fleet.MayGetWork("a") }).Should(BeFalse())
 		Expect(f.View().Fleet.MayGetWork("b")).To(BeTrue())
 	})
 
-	It("takes changes in that come when the time of their call is over", func() {
+	It("applies changes that arrive when the time of their call is over", func() {
 		put(store, state(5, 4, 1, "a"))
 		Eventually(version).Should(Equal(uint64(1)))
-		store.set(func(s *source) { s.tardy = true })
+		store.set(func(s *fakeSource) { s.answersLate = true })
 		for n := uint64(2); n <= 8; n++ {
 			put(store, state(5*n, 5*n, n, "a"))
 			Eventually(version).WithTimeout(4 * time.Second).Should(Equal(n))
 		}
 	})
 
-	// outage has the source out for long enough that entries may lapse there.
+	// outage makes the source unavailable for long enough that entries may expire.
 	outage := func() {
 		GinkgoHelper()
 		Eventually(version).ShouldNot(BeZero())
-		store.set(func(s *source) { s.out = true })
+		store.set(func(s *fakeSource) { s.unavailable = true })
 		unconfirmed := func() time.Duration {
 			now, view := time.Now(), f.View()
 			return min(view.Age(now), view.FleetAge(now))
@@ -349,11 +352,11 @@
 		Eventually(unconfirmed).Should(BeNumerically(">", 2200*time.Millisecond))
 	}
 
-	It("keeps endpoints for a while whose entries lapsed while the source was out", func() {
+	It("retains endpoints whose entries expired during an outage of the source", func() {
 		put(store, state(5, 4, 3, "a", "b", "c"))
 		Eventually(ready).Should(Equal(3))
 		outage()
-		store.forget(state(9, 8, 7, "b"))
+		store.loseHistory(state(9, 8, 7, "b"))
 		Eventually(listed).Should(Equal(uint64(9)))
 		Eventually(version).Should(Equal(uint64(7)))
 		Expect(ready()).To(Equal(3))
@@ -365,23 +368,23 @@
 		Consistently(ready).WithTimeout(500 * time.Millisecond).Should(Equal(2))
 	})
 
-	It("takes a newer version from a peer, however long ago the peer heard of the source", func() {
+	It("accepts a newer version from a peer, however long ago the peer heard of the source", func() {
 		put(store, state(5, 4, 3, "a"))
 		Eventually(version).Should(Equal(uint64(3)))
 		outage()
-		peers.set(func(s *source) { s.out, s.state, s.age = false, state(9, 8, 7, "a"), 5*time.Second })
+		peers.set(func(s *fakeSource) { s.unavailable, s.state, s.age = false, state(9, 8, 7, "a"), 5*time.Second })
 		Eventually(version).Should(Equal(uint64(7)))
-		By("not taking the peer's old word as news of the source")
+		By("not counting it as a confirmation by the source")
 		Expect(f.View().Age(time.Now())).To(BeNumerically(">", 2200*time.Millisecond))
 	})
 
-	It("tells peers of no endpoint that lapsed, and keeps none that was leaving", func() {
+	It("does not tell peers of expired endpoints, and does not retain departing ones", func() {
 		leaving := state(5, 4, 3, "a", "b")
 		leaving.Endpoints[0].Leaving = true
 		put(store, leaving)
 		Eventually(ready).Should(Equal(1))
 		outage()
-		store.forget(state(9, 8, 7))
+		store.loseHistory(state(9, 8, 7))
 		Eventually(listed).Should(Equal(uint64(9)))
 		Eventually(version).Should(Equal(uint64(7)))
 		Expect(f.View().Fleet.All()).To(HaveLen(1))
@@ -389,68 +392,68 @@
 		Expect(f.Known(0).State.Endpoints).To(BeEmpty())
 	})
 
-	It("takes an endpoint that said so as leaving, whatever is read of it later, and tells of it until the source does", func() {
+	It("treats an endpoint that said so as leaving, whatever its entry says later, and reports it until the source does", func() {
 		put(store, state(5, 4, 3, "a", "b"))
 		Eventually(ready).Should(Equal(2))
 		f.Depart(discovery.Answer, "a", "unknown")
 		Eventually(ready).Should(Equal(1))
 		Expect(f.Departing(8)).To(Equal([]string{"a"}))
-		By("an entry that changes, one that is read anew, and one that lapses in an outage and returns")
+		By("an entry that changes, is read again, or expires in an outage and returns")
 		put(store, state(6, 4, 3, "a", "b"))
 		Eventually(listed).Should(Equal(uint64(6)))
 		Expect(ready()).To(Equal(1))
 		outage()
-		store.forget(state(9, 8, 7, "b"))
+		store.loseHistory(state(9, 8, 7, "b"))
 		Eventually(listed).Should(Equal(uint64(9)))
 		Expect(f.View().Fleet.MayGetWork("a")).To(BeFalse())
 		Expect(f.Departing(8)).To(BeEmpty())
 		put(store, state(12, 12, 8, "a", "b"))
 		Eventually(listed).Should(Equal(uint64(12)))
 		Expect(ready()).To(Equal(1))
-		By("the source, which says so at last")
+		By("the source listing it as leaving")
 		leaving := state(15, 12, 8, "a", "b", "unknown")
 		leaving.Endpoints[0].Leaving = true
 		put(store, leaving)
 		Eventually(listed).Should(Equal(uint64(15)))
-		Expect(ready()).To(Equal(1), "another was heard of before it was listed")
+		Expect(ready()).To(Equal(1), "the other departure was reported before the endpoint was listed")
 		Expect(f.Departing(8)).To(Equal([]string{"unknown"}))
 	})
 
-	It("takes an endpoint as gone at once whose entry goes while the source answers", func() {
+	It("drops an endpoint at once when its entry is removed while the source is available", func() {
 		put(store, state(5, 4, 3, "a", "b"))
 		Eventually(ready).Should(Equal(2))
-		store.forget(state(9, 8, 7, "b"))
+		store.loseHistory(state(9, 8, 7, "b"))
 		Eventually(listed).Should(Equal(uint64(9)))
 		Eventually(version).Should(Equal(uint64(7)))
 		Expect(ready()).To(Equal(1))
 	})
 
-	It("leaves the watching to a relay, and goes back to the source when that is out or old", func() {
+	It("relies on a relay, and falls back to the source when the relay is unavailable or outdated", func() {
 		put(store, state(5, 4, 3, "a"))
 		Eventually(ready).Should(Equal(1))
-		peers.set(func(s *source) { s.out, s.state, s.relays = false, state(5, 4, 3, "a"), []string{"relay"} })
+		peers.set(func(s *fakeSource) { s.unavailable, s.state, s.relays = false, state(5, 4, 3, "a"), []string{"relay"} })
 		relayed := func() int {
 			peers.mu.Lock()
 			defer peers.mu.Unlock()
-			return peers.relayed
+			return peers.relayCalls
 		}
 		Eventually(relayed).Should(BeNumerically(">", 0))
 		put(peers, state(9, 8, 7, "a", "b"))
 		Eventually(version).Should(Equal(uint64(7)))
-		peers.set(func(s *source) { s.age = 5 * time.Second })
+		peers.set(func(s *fakeSource) { s.age = 5 * time.Second })
 		put(store, state(12, 11, 10, "a"))
 		Eventually(version).Should(Equal(uint64(10)))
-		peers.set(func(s *source) { s.out = true })
+		peers.set(func(s *fakeSource) { s.unavailable = true })
 		put(store, state(15, 14, 13, "a"))
 		Eventually(version).Should(Equal(uint64(13)))
 	})
 
-	It("relays what comes, as soon as it comes, or says that it is not kept", func() {
+	It("relays changes as soon as they arrive, or reports that they are no longer kept", func() {
 		put(store, state(5, 4, 3, "a"))
 		Eventually(version).Should(Equal(uint64(3)))
 		Eventually(listed).Should(Equal(uint64(5)))
-		By("reading all anew, after which no changes are kept")
-		store.forget(state(6, 4, 3, "a"))
+		By("reading everything again, which drops the kept changes")
+		store.loseHistory(state(6, 4, 3, "a"))
 		Eventually(listed).Should(Equal(uint64(6)))
 		ask := func(since uint64, wait time.Duration) discovery.Relayed {
 			return f.Relay(discovery.RelaySelect{Since: since, Document: 4, Wait: wait})
@@ -467,7 +470,7 @@
 		Eventually(got).Should(Receive(Or(HaveField("Mark.Revision", uint64(10)), HaveField("Changes.Revision", uint64(11)))))
 		Eventually(func() uint64 { return ask(11, 0).Mark.Revision }).Should(Equal(uint64(10)))
 		Eventually(listed).Should(Equal(uint64(11)))
-		By("telling one whose revision lies between two of its own all that it may lack")
+		By("sending a requester whose revision lies between two entries all that it may lack")
 		Expect(ask(7, time.Second)).To(SatisfyAll(HaveField("Gone", false), HaveField("Changes.Revision", uint64(11))))
 		Expect(ask(3, time.Second).Gone).To(BeTrue())
 	})
--- a/pkg/discovery/endpoints.go
+++ b/pkg/discovery/endpoints.go
@@ -10,84 +10,85 @@
 )
 
 const (
-	// watchWait is how long one watch waits. A cut that swallows its answer is
-	// noticed after watchWait and answerSlack.
-	watchWait   = 1500 * time.Millisecond
-	answerSlack = 500 * time.Millisecond
-	// relayWatchWait is how long the watches of those wait that relay to others, and
-	// relayWait is how long a call to a relay waits. What a relay tells that is older
-	// than maxRelayAge is not relied on: changes may be as old as the watch that told of them, and
-	// are confirmed a pause and another watch later; the rest is for the way.
-	relayWatchWait = 400 * time.Millisecond
-	relayWait      = 400 * time.Millisecond
-	relayTimeout   = 200 * time.Millisecond
-	maxRelayAge    = 2*relayWatchWait + watchPause + 150*time.Millisecond
-	// readTimeout is how long the answer to a reading of everything may take to begin.
+	// watchTimeout is the timeout of a watch. A partition that drops the response is detected after
+	// watchTimeout plus responseGrace.
+	watchTimeout  = 1500 * time.Millisecond
+	responseGrace = 500 * time.Millisecond
+	// relayWatchTimeout is the watch timeout of an instance that acts as a relay, and relayTimeout
+	// the timeout of a request to a relay. Data older than maxRelayAge is rejected: a change may be
+	// as old as the watch that returned it and is confirmed one interval and one watch later; the
+	// remainder allows for network latency.
+	relayWatchTimeout  = 400 * time.Millisecond
+	relayTimeout       = 400 * time.Millisecond
+	relayResponseGrace = 200 * time.Millisecond
+	maxRelayAge        = 2*relayWatchTimeout + minWatchInterval + 150*time.Millisecond
+	// readTimeout bounds the time until the response to a full read starts to arrive.
 	readTimeout = time.Second
-	// relayPause is the least time between two questions to relays.
-	relayPause = 50 * time.Millisecond
-	// peerPoll is the time between questions to peers while the source is silent. peerTimeout
-	// bounds an answer, which may hold all endpoints: 1.7 MB of 12,000, 1.4 s at 10 Mbit/s. A peer
-	// that is silent ends its connection sooner.
-	peerPoll    = 300 * time.Millisecond
-	peerTimeout = 3 * time.Second
-	// readingFor is how long an answer of the source may take to come until peers are asked as well:
-	// 0.8 MB of 3,000 endpoints take 0.7 s on an idle link of 10 Mbit/s.
-	readingFor = 2 * time.Second
-	// joining is how long an instance that starts waits, with what it has read, until it follows:
-	// by then it has heard of the others, and of relays among them. Without it, of 295 that start
-	// together each watches the source twice: 600 calls in the first two seconds.
-	joining = time.Second
-	// relayingFor is how long an instance takes itself to be a relay after it was asked.
-	relayingFor = 5 * time.Second
+	// minRelayInterval is the minimum time between two requests to relays.
+	minRelayInterval = 50 * time.Millisecond
+	// peerPollInterval is the interval of requests to peers while the source does not respond.
+	// peerTimeout bounds a response, which may contain all endpoints: 12,000 endpoints are 1.7 MB
+	// and take 1.4 s at 10 Mbit/s. A peer that stops responding is detected earlier, by its
+	// connection.
+	peerPollInterval = 300 * time.Millisecond
+	peerTimeout      = 3 * time.Second
+	// sourceReadGrace is how long a response of the source may take before peers are queried as
+	// well.
+	sourceReadGrace = 2 * time.Second
+	// joinDelay is how long an instance waits after startup, once it has read the endpoints, before
+	// it watches for changes. By then it has discovered relays, so that instances which start
+	// together do not all watch the source.
+	joinDelay = time.Second
+	// relayRoleTTL is how long an instance acts as a relay after the last request.
+	relayRoleTTL = 5 * time.Second
 )
 
-// followEndpoints follows the endpoints, at a relay or at the source.
+// followEndpoints keeps the endpoints up to date from a relay or from the source.
 func (f *Follower) followEndpoints(ctx context.Context) {
 	retry := newRetry()
-	reached, anew, first := true, true, true
+	reached, fullRead, first := true, true, true
 	for ctx.Err() == nil {
 		begin := f.clock.Now()
-		if !f.View().Confirmed.IsZero() && f.askRelays(ctx) {
-			anew = false
-			sleep(ctx, f.clock, relayPause-f.clock.Since(begin))
+		if !f.View().Confirmed.IsZero() && f.requestFromRelays(ctx) {
+			fullRead = false
+			sleep(ctx, f.clock, minRelayInterval-f.clock.Since(begin))
 			continue
 		}
-		err := f.askSource(ctx, anew)
+		err := f.requestFromSource(ctx, fullRead)
 		switch {
 		case err == nil:
-			anew = false
+			fullRead = false
 			retry.Reset()
-			reached = f.tellReached(reached, nil)
-			sleep(ctx, f.clock, pauseAfter(first)-f.clock.Since(begin))
+			reached = f.logReachability(reached, nil)
+			sleep(ctx, f.clock, watchInterval(first)-f.clock.Since(begin))
 			first = false
 		case errors.Is(err, ErrHistoryGone):
 			f.log.WithFields(logrus.Fields{"event": "history_gone", "of": "endpoints", "revision": f.View().listed.Revision}).Info()
-			anew = true
+			fullRead = true
 		case ctx.Err() == nil:
-			reached = f.tellReached(reached, err)
+			reached = f.logReachability(reached, err)
 			sleep(ctx, f.clock, retry.NextBackOff())
 		}
 	}
 }
 
-// pauseAfter is the least time from the beginning of a call that was answered to the next one.
-func pauseAfter(first bool) time.Duration {
+// watchInterval returns the minimum time between the starts of two successful calls.
+func watchInterval(first bool) time.Duration {
 	if first {
-		return joining
+		return joinDelay
 	}
-	return watchPause
+	return minWatchInterval
 }
 
 func newRetry() *backoff.ExponentialBackOff {
 	retry := backoff.NewExponentialBackOff()
-	retry.InitialInterval = firstRetry
-	retry.MaxInterval = lastRetry
+	retry.InitialInterval = minRetryDelay
+	retry.MaxInterval = maxRetryDelay
 	return retry
 }
 
-// tellReached logs a change of whether the source answers.
-func (f *Follower) tellReached(before bool, err error) bool {
+// logReachability logs transitions between reachable and unreachable, and returns the new state.
+func (f *Follower) logReachability(before bool, err error) bool {
 	now := err == nil
 	if now == before {
 		return now
@@ -100,27 +101,28 @@
 	return now
 }
 
-// askSource reads all endpoints, or waits for changes of those that the view has. What came
-// is delivered though the time of its call is over: the next watch goes on after it.
-func (f *Follower) askSource(ctx context.Context, anew bool) error {
-	if anew {
+// requestFromSource reads all endpoints or watches for changes since the view's revision. A
+// response is delivered even after the call has timed out, because the next watch continues from
+// it.
+func (f *Follower) requestFromSource(ctx context.Context, fullRead bool) error {
+	if fullRead {
 		return f.readState(ctx)
 	}
-	wait := f.watchWait()
-	callCtx, transfer := newTransfer(ctx, f.clock, wait+answerSlack)
+	wait := f.watchTimeout()
+	callCtx, transfer := newTransfer(ctx, f.clock, wait+responseGrace)
 	defer transfer.end()
-	f.reading.Store(transfer)
+	f.endpointCall.Store(transfer)
 	since := f.View().listed.Revision
 	changes, err := f.source.Watch(callCtx, since, wait, transfer.progress)
 	if err != nil {
-		f.tellFailed("endpoints", "watch", transfer, err)
+		f.logFailedCall("endpoints", "watch", transfer, err)
 		return err
 	}
-	f.tellCalled("endpoints", "watch", transfer)
-	n := changeNews{changes: changes, since: since, heard: transfer.confirmedAt(wait)}
+	f.logCall("endpoints", "watch", transfer)
+	n := changesUpdate{changes: changes, since: since, heard: transfer.confirmedAt(wait)}
 	n.at = n.heard
 	if len(changes.Endpoints) > 0 {
-		// They may have been told at any time of the watch, and been held up since.
+		// The changes may have been sent at any time during the watch and delayed since.
 		n.at = transfer.begin
 	}
 	f.deliver(ctx, n)
@@ -130,27 +132,27 @@
 func (f *Follower) readState(ctx context.Context) error {
 	callCtx, transfer := newTransfer(ctx, f.clock, readTimeout)
 	defer transfer.end()
-	f.reading.Store(transfer)
+	f.endpointCall.Store(transfer)
 	state, err := f.source.State(callCtx, transfer.progress)
 	if err != nil {
-		f.tellFailed("endpoints", "read", transfer, err)
+		f.logFailedCall("endpoints", "read", transfer, err)
 		return err
 	}
-	f.tellCalled("endpoints", "read", transfer)
-	f.deliver(ctx, stateNews{state: state, at: transfer.begin, heard: transfer.begin})
+	f.logCall("endpoints", "read", transfer)
+	f.deliver(ctx, endpointsUpdate{state: state, at: transfer.begin, heard: transfer.begin})
 	return nil
 }
 
-// tellFailed logs a call to the source that failed, and how far its answer had come.
-func (f *Follower) tellFailed(of, call string, t *transfer, err error) {
+// logFailedCall logs a failed call to the source and how much of the response had arrived.
+func (f *Follower) logFailedCall(of, call string, t *transfer, err error) {
 	if errors.Is(err, ErrHistoryGone) {
 		return
 	}
 	f.log.WithFields(f.callFields("source_call_failed", of, call, t)).Info(err)
 }
 
-// tellCalled logs a call to the source that was answered: each costs the source, which all share.
-func (f *Follower) tellCalled(of, call string, t *transfer) {
+// logCall logs a successful call to the source.
+func (f *Follower) logCall(of, call string, t *transfer) {
 	f.log.WithFields(f.callFields("source_call", of, call, t)).Info()
 }
 
@@ -158,71 +160,73 @@
 	return logrus.Fields{"event": event, "of": of, "call": call, "bytes": t.bytes.Load(), "ms": f.clock.Since(t.begin).Milliseconds()}
 }
 
-// watchWait is how long a watch waits: less while others rely on this instance.
-func (f *Follower) watchWait() time.Duration {
-	if until := f.relaying.Load(); until != nil && f.clock.Now().Before(*until) {
-		return relayWatchWait
+// watchTimeout returns the timeout of an endpoint watch, which is shorter while this instance acts
+// as a relay.
+func (f *Follower) watchTimeout() time.Duration {
+	if until := f.relayingUntil.Load(); until != nil && f.clock.Now().Before(*until) {
+		return relayWatchTimeout
 	}
-	return watchWait
+	return watchTimeout
 }
 
-// askRelays takes what is new from a relay, and tells whether one gave it fresh enough.
-func (f *Follower) askRelays(ctx context.Context) bool {
+// requestFromRelays requests changes from the relays in order, and reports whether one of them
+// provided sufficiently recent data.
+func (f *Follower) requestFromRelays(ctx context.Context) bool {
 	for _, relay := range f.peers.Relays() {
-		if f.askRelay(ctx, relay) {
+		if f.requestFromRelay(ctx, relay) {
 			return true
 		}
 	}
 	return false
 }
 
-func (f *Follower) askRelay(ctx context.Context, relay string) bool {
+func (f *Follower) requestFromRelay(ctx context.Context, relay string) bool {
 	view := f.View()
-	selection := RelaySelect{Since: view.listed.Revision, Document: view.known(), Evacuations: view.Evacuations(), Rollouts: view.Rollouts(), Wait: relayWait}
-	callCtx, cancel := context.WithTimeout(ctx, relayWait+relayTimeout)
-	told, err := f.peers.Relay(callCtx, relay, selection)
+	request := RelaySelect{Since: view.listed.Revision, Document: view.knownRevision(), Evacuations: view.Evacuations(), Rollouts: view.Rollouts(), Wait: relayTimeout}
+	callCtx, cancel := context.WithTimeout(ctx, relayTimeout+relayResponseGrace)
+	response, err := f.peers.Relay(callCtx, relay, request)
 	cancel()
 	now := f.clock.Now()
 	if err == nil {
-		f.deliver(ctx, markNews{mark: told.Mark, at: now.Add(-told.Mark.Age)})
+		f.deliver(ctx, statusUpdate{mark: response.Mark, at: now.Add(-response.Mark.Age)})
 	}
-	if err == nil && told.Gone {
+	if err == nil && response.Gone {
 		err = ErrHistoryGone
 	}
-	if err != nil || told.Age > maxRelayAge {
-		f.log.WithFields(logrus.Fields{"event": "relay_refused", "relay": relay, "revision": selection.Since, "age_ms": told.Age.Milliseconds()}).Info(err)
+	if err != nil || response.Age > maxRelayAge {
+		f.log.WithFields(logrus.Fields{"event": "relay_refused", "relay": relay, "revision": request.Since, "age_ms": response.Age.Milliseconds()}).Info(err)
 		return false
 	}
-	confirmed := now.Add(-told.Age)
-	f.deliver(ctx, changeNews{changes: told.Changes, since: selection.Since, at: confirmed, heard: confirmed})
-	if told.Mark.Age <= maxMarkAge {
-		f.relayed.Store(&now)
+	confirmed := now.Add(-response.Age)
+	f.deliver(ctx, changesUpdate{changes: response.Changes, since: request.Since, at: confirmed, heard: confirmed})
+	if response.Mark.Age <= maxStatusAge {
+		f.lastRelayed.Store(&now)
 	}
 	return true
 }
 
-// followPeers asks peers while the source does not confirm the endpoints.
+// followPeers queries peers while the source does not confirm the endpoints.
 func (f *Follower) followPeers(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, f.clock, peerPoll)
+		sleep(ctx, f.clock, peerPollInterval)
 		view := f.View()
-		if since(view.heard, f.clock.Now()) >= confirmedFor && !f.sourceTells() {
-			f.askPeer(ctx, view)
+		if since(view.lastHeard, f.clock.Now()) >= confirmationTTL && !f.sourceResponding() {
+			f.requestFromPeer(ctx, view)
 		}
 	}
 }
 
-// sourceTells tells whether the source is answering a call that was begun not long ago. Peers would
-// send the same over the same link.
-func (f *Follower) sourceTells() bool {
+// sourceResponding reports whether a recent call to the source is still receiving data. Peers would
+// send the same data over the same link.
+func (f *Follower) sourceResponding() bool {
 	now := f.clock.Now()
-	t := f.reading.Load()
-	return t != nil && now.Sub(t.begin) < readingFor && t.coming(now, peerPoll)
+	t := f.endpointCall.Load()
+	return t != nil && now.Sub(t.begin) < sourceReadGrace && t.receiving(now, peerPollInterval)
 }
 
-// askPeer takes what a peer knows. One that knows more is listened to however old its
-// knowledge is; who knows nothing yet begins with what is fresh.
-func (f *Follower) askPeer(ctx context.Context, view *View) {
+// requestFromPeer requests the endpoints from a peer. Newer endpoints are accepted whatever their
+// age, except by an instance that has none yet: it only accepts recently confirmed ones.
+func (f *Follower) requestFromPeer(ctx context.Context, view *View) {
 	callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	at := f.clock.Now()
@@ -233,9 +237,9 @@
 	}
 	switch confirmed := at.Add(-known.Age); {
 	case known.Same:
-		f.deliver(ctx, changeNews{changes: Changes{Revision: known.State.Revision}, since: known.State.Revision, at: confirmed, heard: confirmed})
-	case known.Age <= confirmedFor || !view.Confirmed.IsZero():
-		f.deliver(ctx, stateNews{state: known.State, at: confirmed, heard: confirmed})
+		f.deliver(ctx, changesUpdate{changes: Changes{Revision: known.State.Revision}, since: known.State.Revision, at: confirmed, heard: confirmed})
+	case known.Age <= confirmationTTL || !view.Confirmed.IsZero():
+		f.deliver(ctx, endpointsUpdate{state: known.State, at: confirmed, heard: confirmed})
 	}
-	f.deliver(ctx, markNews{mark: known.Mark, at: at.Add(-known.Mark.Age)})
+	f.deliver(ctx, statusUpdate{mark: known.Mark, at: at.Add(-known.Mark.Age)})
 }
--- a/pkg/discovery/evacuating.go
+++ b/pkg/discovery/evacuating.go
@@ -6,41 +6,41 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-// orders are what the source told of evacuations and rollouts, as of a revision: those that were given
-// since an earlier one, or if that is 0 all that are in force. The zero value tells nothing.
+// orders contains the evacuations and rollouts that the source returned as of a revision: those
+// given after since, or all that are in force if since is 0. The zero value contains none.
 type orders struct {
-	since    uint64
-	at       uint64
-	given    []fleet.Evacuation
-	rollouts []fleet.RolloutOrder
+	since       uint64
+	at          uint64
+	evacuations []fleet.Evacuation
+	rollouts    []fleet.RolloutOrder
 }
 
-// follow tells whether the orders follow what is known: not if some before them are not known.
-func (o orders) follow(known *View) bool { return o.since <= known.knownOrders() }
+// contiguous reports whether no order is missing between the view's orders and these.
+func (o orders) contiguous(known *View) bool { return o.since <= known.ordersRevision() }
 
-// after returns what holds after the orders, where others were known before: those, if the orders
-// are older.
-func (o orders) after(known fleet.Evacuations) fleet.Evacuations {
+// applyEvacuations returns the evacuations in force after the orders are applied to known. It
+// returns known if the orders are older.
+func (o orders) applyEvacuations(known fleet.Evacuations) fleet.Evacuations {
 	if o.at <= known.Revision {
 		return known
 	}
 	if o.since == 0 {
 		known = fleet.Evacuations{}
 	}
-	return known.With(o.at, o.given)
+	return known.With(o.at, o.evacuations)
 }
 
-// evacuate takes in which failure domains are evacuated, and tells whether that changes anything.
-// What is older than what the view knows changes nothing.
-func (f *Follower) evacuate(view *View, e fleet.Evacuations) bool {
+// updateEvacuations applies evacuations to the view and reports whether they changed. Evacuations
+// older than the view's are ignored.
+func (f *Follower) updateEvacuations(view *View, e fleet.Evacuations) bool {
 	before := view.Evacuations()
 	view.listed = view.listed.Evacuate(e)
-	after := view.Evacuations()
-	if after.Same(before) {
+	updated := view.Evacuations()
+	if updated.Same(before) {
 		return false
 	}
-	view.Fleet = f.lapses.keep(f.clock.Now(), view.Fleet, view.listed)
-	evacuated, returned := after.Changed(before)
+	view.Fleet = f.outageGrace.retain(f.clock.Now(), view.Fleet, view.listed)
+	evacuated, returned := updated.Changed(before)
 	for _, domain := range evacuated {
 		f.logEvacuation("domain_evacuated", domain, view)
 	}
@@ -50,30 +50,31 @@
 	return true
 }
 
-// logEvacuation logs a change of a failure domain. One without endpoints may be misspelt.
+// logEvacuation logs a change of a failure domain. The number of endpoints helps to spot a misspelt
+// name.
 func (f *Follower) logEvacuation(event, domain string, view *View) {
 	f.log.WithFields(logrus.Fields{
 		"event": event, "domain": domain, "endpoints": view.listed.In(domain), "revision": view.Evacuations().Revision,
 	}).Info()
 }
 
-// refuseMalformed logs orders that name no failure domain; they change nothing.
-func (f *Follower) refuseMalformed(given []fleet.Evacuation, revision uint64) {
+// logInvalidEvacuations logs orders without a failure domain, which are ignored.
+func (f *Follower) logInvalidEvacuations(given []fleet.Evacuation, revision uint64) {
 	for _, order := range given {
 		if order.Domain == "" {
-			f.log.WithFields(logrus.Fields{"event": "evacuation_refused", "revision": revision}).Warn("the order names no failure domain; remove it and give one that does")
+			f.log.WithFields(logrus.Fields{"event": "evacuation_refused", "revision": revision}).Warn("evacuation order names no failure domain; remove it and create one that does")
 		}
 	}
 }
 
-// wakeIf returns what is to be done after news: if they changed what others rely on this instance
-// for, those are told first.
-func (f *Follower) wakeIf(changed bool, then func()) func() {
+// notifyIf returns the function to call after an update. If the update changed data that is relayed
+// to other instances, the function notifies the waiting requests first.
+func (f *Follower) notifyIf(changed bool, then func()) func() {
 	if !changed {
 		return then
 	}
 	return func() {
-		f.history.wake()
+		f.history.notifyWaiters()
 		if then != nil {
 			then()
 		}
--- a/pkg/discovery/evacuating_test.go
+++ b/pkg/discovery/evacuating_test.go
@@ -13,9 +13,9 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/logging"
 )
 
-// inDomains returns a state with an endpoint in each of the failure domains a and b, named so, while
-// some are evacuated.
-func inDomains(revision uint64, evacuated ...string) held {
+// inDomains returns a state with one endpoint in each of the failure domains a and b, named after
+// it, and the given evacuations.
+func inDomains(revision uint64, evacuated ...string) sourceState {
 	s := state(revision, 1, 1)
 	for _, domain := range []string{"a", "b"} {
 		s.Endpoints = append(s.Endpoints, fleet.Endpoint{ID: domain, Service: "s", FailureDomain: domain})
@@ -25,11 +25,10 @@
 }
 
 var _ = Describe("an evacuation", func() {
-	var store, peers *source
+	var store, peers *fakeSource
 
-	// follow starts a follower of the store and the peers.
 	follow := func(source discovery.Source) *discovery.Follower {
-		f := discovery.New(source, peersOf{peers}, clockwork.NewRealClock(), logging.Discard().For("discovery"))
+		f := discovery.New(source, fakePeers{peers}, clockwork.NewRealClock(), logging.Discard().For("discovery"))
 		var t tomb.Tomb
 		t.Go(func() error { return f.Run(&t) })
 		DeferCleanup(func() {
@@ -47,18 +46,18 @@
 			return ids
 		}
 	}
-	put := func(s *source, next held) { s.set(func(s *source) { s.state = next }) }
+	put := func(s *fakeSource, next sourceState) { s.set(func(s *fakeSource) { s.state = next }) }
 
 	BeforeEach(func() {
-		store, peers = &source{}, &source{out: true}
+		store, peers = &fakeSource{}, &fakeSource{unavailable: true}
 	})
 
-	It("is in force as soon as it is given, and taken back as soon as it is taken back", func() {
+	It("takes effect as soon as it is given, and ends as soon as it is withdrawn", func() {
 		put(store, inDomains(5))
 		f := follow(store)
 		Eventually(ready(f)).Should(HaveExactElements("a", "b"))
 		put(store, inDomains(6, "a"))
-		Eventually(ready(f)).WithTimeout(3*time.Second).Should(HaveExactElements("b"), "one that has just started waits for relays first")
+		Eventually(ready(f)).WithTimeout(3*time.Second).Should(HaveExactElements("b"), "an instance that has just started waits for relays first")
 		put(store, inDomains(7, "a", "b"))
 		Eventually(ready(f)).WithTimeout(time.Second).Should(BeEmpty())
 		put(store, inDomains(8, "b"))
@@ -66,11 +65,11 @@
 		Expect(f.View().Complete()).To(BeTrue())
 	})
 
-	It("given and taken back between two answers is taken back", func() {
+	It("given and withdrawn between two responses is not in force", func() {
 		put(store, inDomains(5))
 		f := follow(store)
 		Eventually(ready(f)).Should(HaveExactElements("a", "b"))
-		store.set(func(s *source) {
+		store.set(func(s *fakeSource) {
 			s.state = inDomains(8)
 			s.orders = []fleet.Evacuation{{Domain: "a"}, {Domain: "b"}, {Domain: "a", Ended: true}, {Domain: "b", Ended: true}}
 		})
@@ -78,31 +77,31 @@
 		Expect(ready(f)()).To(HaveExactElements("a", "b"))
 	})
 
-	It("is known to one that starts while it is in force, and when the history is gone", func() {
+	It("is known to an instance that starts while it is in force, and after the history is gone", func() {
 		put(store, inDomains(5, "b"))
 		f := follow(store)
 		Eventually(ready(f)).Should(HaveExactElements("a"))
-		store.forget(inDomains(9, "a"))
+		store.loseHistory(inDomains(9, "a"))
 		Eventually(ready(f)).Should(HaveExactElements("b"))
-		store.forget(inDomains(12))
+		store.loseHistory(inDomains(12))
 		Eventually(ready(f)).Should(HaveExactElements("a", "b"))
 	})
 
-	It("stays in force while the source is out, and no older word of a peer takes it back", func() {
+	It("stays in force while the source is unavailable, whatever older state a peer reports", func() {
 		put(store, inDomains(7, "a"))
 		f := follow(store)
 		Eventually(ready(f)).Should(HaveExactElements("b"))
-		store.set(func(s *source) { s.out = true })
-		peers.set(func(s *source) { s.out, s.state = false, inDomains(6) })
+		store.set(func(s *fakeSource) { s.unavailable = true })
+		peers.set(func(s *fakeSource) { s.unavailable, s.state = false, inDomains(6) })
 		Consistently(ready(f)).WithTimeout(2500 * time.Millisecond).Should(HaveExactElements("b"))
-		By("taking newer word of a peer")
+		By("accepting newer state from a peer")
 		put(peers, inDomains(9))
 		Eventually(ready(f)).Should(HaveExactElements("a", "b"))
 	})
 
-	It("is known to one that starts and reaches peers alone", func() {
-		store.out = true
-		peers.set(func(s *source) { s.out, s.state = false, inDomains(6, "a") })
+	It("is known to an instance that starts and reaches only peers", func() {
+		store.unavailable = true
+		peers.set(func(s *fakeSource) { s.unavailable, s.state = false, inDomains(6, "a") })
 		f := follow(store)
 		Eventually(ready(f)).Should(HaveExactElements("b"))
 		Eventually(func() bool { return f.View().Complete() }).Should(BeTrue())
@@ -127,7 +126,7 @@
 		var told discovery.Relayed
 		Eventually(got).WithTimeout(3 * time.Second).Should(Receive(&told))
 		Expect(told.Mark.Evacuations.Domains).To(HaveExactElements("b"))
-		Eventually(ask(none)).Should(Receive(), "one that asks later and does not know yet")
+		Eventually(ask(none)).Should(Receive(), "a later requester that does not know it yet")
 		got = ask(told.Mark.Evacuations)
 		Consistently(got).WithTimeout(100 * time.Millisecond).ShouldNot(Receive())
 		put(store, inDomains(7))
@@ -135,10 +134,10 @@
 		Expect(told.Mark.Evacuations.Domains).To(BeEmpty())
 	})
 
-	It("is asked of the source when those who tell of the configuration do not tell of it", func() {
+	It("is asked of the source when the instances that provide the configuration omit it", func() {
 		put(store, inDomains(5))
-		peers.set(func(s *source) {
-			s.out, s.state, s.relays, s.silentOnOrders = false, inDomains(5), []string{"relay"}, true
+		peers.set(func(s *fakeSource) {
+			s.unavailable, s.state, s.relays, s.silentOnOrders = false, inDomains(5), []string{"relay"}, true
 		})
 		f := follow(store)
 		Eventually(ready(f)).Should(HaveExactElements("a", "b"))
@@ -147,11 +146,11 @@
 		Eventually(ready(f)).WithTimeout(3 * time.Second).Should(HaveExactElements("b"))
 	})
 
-	It("of no failure domain changes nothing, and others that come with it do", func() {
+	It("without a failure domain changes nothing, and orders that arrive with it apply", func() {
 		put(store, inDomains(5))
 		f := follow(store)
 		Eventually(ready(f)).Should(HaveExactElements("a", "b"))
-		store.set(func(s *source) {
+		store.set(func(s *fakeSource) {
 			s.state = inDomains(6, "a")
 			s.orders = []fleet.Evacuation{{Domain: ""}, {Domain: "", Ended: true}, {Domain: "unknown"}, {Domain: "a"}}
 		})
@@ -159,8 +158,8 @@
 	})
 })
 
-// commonTo returns the orders that lead from some evacuated failure domains to others.
-func commonTo(before, after []string) []fleet.Evacuation {
+// ordersBetween returns the orders that change one set of evacuated failure domains into another.
+func ordersBetween(before, after []string) []fleet.Evacuation {
 	var orders []fleet.Evacuation
 	evacuated, returned := fleet.Evacuations{Domains: after}.Changed(fleet.Evacuations{Domains: before})
 	for _, domain := range evacuated {
@@ -172,12 +171,12 @@
 	return orders
 }
 
-// given returns the orders after a revision, as the source tells them.
-func (s *source) given(since uint64, state held) []fleet.Evacuation {
+// ordersSince returns the orders after a revision, as returned by a watch.
+func (s *fakeSource) ordersSince(since uint64, state sourceState) []fleet.Evacuation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.orders != nil && since < state.Revision {
 		return s.orders
 	}
-	return commonTo(s.told[since], state.Evacuated)
+	return ordersBetween(s.evacuatedAt[since], state.Evacuated)
 }
--- a/pkg/discovery/export_test.go
+++ b/pkg/discovery/export_test.go
@@ -1,6 +1,6 @@
 package discovery
 
-// Pack returns a document as peers give it, and its digest.
+// Pack returns the compressed form of a document, as sent to peers, and its digest.
 func Pack(d Document) (digest string, data []byte) {
 	p, err := pack(d)
 	if err != nil {
@@ -9,5 +9,5 @@
 	return p.digest, p.data
 }
 
-// BehindGrace is how long an instance serves on that lacks a configuration.
+// BehindGrace exports behindGrace.
 const BehindGrace = behindGrace
--- a/pkg/discovery/follower.go
+++ b/pkg/discovery/follower.go
@@ -15,92 +15,92 @@
 )
 
 const (
-	// watchPause is the least time between two watches: what changes meanwhile comes
+	// minWatchInterval is the minimum time between two watches. Changes in between are delivered
 	// together.
-	watchPause = 150 * time.Millisecond
-	// firstRetry and lastRetry bound the pause after a failed call to the source.
-	firstRetry = 50 * time.Millisecond
-	lastRetry  = 400 * time.Millisecond
-	// confirmedFor is how long what a view or a peer says may go unconfirmed. It is more
-	// than one watch takes.
-	confirmedFor = watchWait + 200*time.Millisecond
-	// rumours bounds those that wait for the owner of the view; each is told again.
-	rumours = 16
+	minWatchInterval = 150 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the backoff after a failed call to the source.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
+	// confirmationTTL is how long a confirmation is valid. It is longer than one watch.
+	confirmationTTL = watchTimeout + 200*time.Millisecond
+	// peerRevisionQueue is the capacity of the queue of revisions reported by peers. Dropped
+	// revisions are reported again.
+	peerRevisionQueue = 16
 )
 
-// Follower keeps a view up to date. One goroutine owns the state; readers take the
-// view through an atomic pointer.
+// Follower maintains the view of the configuration and the endpoints. A single goroutine updates
+// the view; readers load it through an atomic pointer.
 type Follower struct {
-	source Source
-	peers  Peers
-	clock  clockwork.Clock
-	log    *logrus.Entry
-	view   atomic.Pointer[View]
-	events chan event
-	// rumours are revisions of documents that peers have in force.
-	rumours chan rumourNews
-	// history is what changed last, for those to whom this instance relays.
+	source  Source
+	peers   Peers
+	clock   clockwork.Clock
+	log     *logrus.Entry
+	view    atomic.Pointer[View]
+	updates chan updateRequest
+	// peerRevisions receives the document revisions that peers have in force.
+	peerRevisions chan revisionUpdate
+	// history holds recent changes for instances that use this one as a relay.
 	history *history
-	// relaying is until when this instance relays to others, and relayed when a relay last
-	// told of its document, by the steady clock.
-	relaying atomic.Pointer[time.Time]
-	relayed  atomic.Pointer[time.Time]
-	// reading is the call to the source that was begun last and brings endpoints.
-	reading atomic.Pointer[transfer]
-	// wanted wakes the goroutine that takes documents from peers.
-	wanted chan struct{}
-	// shelf has the packed document that peers take.
-	shelf *shelf
-	// hesitation is how long this instance waits more than others until it reads the source
-	// for a document that no peer gives.
-	hesitation time.Duration
-	// lapses belong to the goroutine of Run, as does release, which tells when what was
-	// kept after an outage is to be taken as gone.
-	lapses  lapses
-	release <-chan time.Time
-	// departures are what endpoints said of their leaving.
+	// relayingUntil is when this instance stops acting as a relay, and lastRelayed when a relay
+	// last confirmed its document. Both use the monotonic clock.
+	relayingUntil atomic.Pointer[time.Time]
+	lastRelayed   atomic.Pointer[time.Time]
+	// endpointCall is the latest call to the source for endpoints.
+	endpointCall atomic.Pointer[transfer]
+	// documentWanted wakes the goroutine that fetches documents from peers.
+	documentWanted chan struct{}
+	// documentCache holds the compressed document that is served to peers.
+	documentCache *documentCache
+	// sourceJitter is this instance's random delay before it reads the source for a document that
+	// no peer provides.
+	sourceJitter time.Duration
+	// outageGrace and outageGraceEnd are only accessed by the goroutine of Run. outageGraceEnd
+	// fires when endpoints retained after an outage have to be dropped.
+	outageGrace    outageGrace
+	outageGraceEnd <-chan time.Time
+	// departures holds the departures announced by endpoints.
 	departures *departures
-	// refusedEntries counts the entries that named no endpoint to use.
+	// refusedEntries counts invalid entries.
 	refusedEntries atomic.Uint64
 }
 
-// event hands news to the goroutine that owns the view.
-type event struct {
-	news     news
-	accepted chan struct{}
+// updateRequest passes an update to the goroutine that owns the view.
+type updateRequest struct {
+	update  update
+	applied chan struct{}
 }
 
 // New returns a follower with an empty view.
 func New(source Source, peers Peers, clock clockwork.Clock, log *logrus.Entry) *Follower {
 	f := &Follower{
-		source:     source,
-		peers:      peers,
-		clock:      clock,
-		log:        log,
-		events:     make(chan event),
-		rumours:    make(chan rumourNews, rumours),
-		history:    newHistory(),
-		wanted:     make(chan struct{}, 1),
-		shelf:      newShelf(clock),
-		hesitation: rand.N(longestHesitation),
-		departures: newDepartures(),
+		source:         source,
+		peers:          peers,
+		clock:          clock,
+		log:            log,
+		updates:        make(chan updateRequest),
+		peerRevisions:  make(chan revisionUpdate, peerRevisionQueue),
+		history:        newHistory(),
+		documentWanted: make(chan struct{}, 1),
+		documentCache:  newDocumentCache(clock),
+		sourceJitter:   rand.N(maxSourceJitter),
+		departures:     newDepartures(),
 	}
 	none := fleet.New(0, nil)
 	f.view.Store(&View{Fleet: none, listed: none})
 	return f
 }
 
-// RefusedEntries is how many entries named no endpoint to use.
+// RefusedEntries returns the number of invalid entries seen.
 func (f *Follower) RefusedEntries() uint64 { return f.refusedEntries.Load() }
 
-// View returns what is known now.
+// View returns the current view.
 func (f *Follower) View() *View { return f.view.Load() }
 
-// Known returns what is known, to be told to a peer that has the endpoints of a revision. They are
-// left out if it has as much.
+// Known returns the local state for a peer that has the endpoints of revision newerThan. The
+// endpoints are omitted unless they are newer.
 func (f *Follower) Known(newerThan uint64) Known {
 	view, now := f.View(), f.clock.Now()
-	known := Known{State: State{Revision: view.listed.Revision}, Age: view.FleetAge(now), Mark: view.mark(now)}
+	known := Known{State: State{Revision: view.listed.Revision}, Age: view.FleetAge(now), Mark: view.status(now)}
 	if known.State.Revision > newerThan {
 		known.State.Endpoints = view.listed.All()
 	}
@@ -108,54 +108,54 @@
 	return known
 }
 
-// Heard takes in the revision of the document that a peer has in force. It does not block:
-// one for which there is no room is told again.
+// Heard records the document revision that a peer has in force. It does not block: if the queue is
+// full the revision is dropped, and reported again later.
 func (f *Follower) Heard(revision uint64) {
 	if revision <= f.View().Document.Revision {
 		return
 	}
 	select {
-	case f.rumours <- rumourNews(revision):
+	case f.peerRevisions <- revisionUpdate(revision):
 	default:
 	}
 }
 
-// Run follows source and peers until t dies.
+// Run follows the source and the peers until t dies.
 func (f *Follower) Run(t *tomb.Tomb) error {
 	ctx := t.Context(context.Background())
 	t.Go(func() error { f.followEndpoints(ctx); return nil })
 	t.Go(func() error { f.followDocument(ctx); return nil })
-	t.Go(func() error { f.takeDocuments(ctx); return nil })
+	t.Go(func() error { f.fetchDocuments(ctx); return nil })
 	t.Go(func() error { f.followPeers(ctx); return nil })
 	for {
 		select {
-		case e := <-f.events:
-			f.apply(e.news)
-			close(e.accepted)
-		case n := <-f.rumours:
+		case e := <-f.updates:
+			f.apply(e.update)
+			close(e.applied)
+		case n := <-f.peerRevisions:
 			f.apply(n)
-		case <-f.release:
-			f.apply(lapseNews{})
-		case <-f.departures.news:
-			f.apply(departNews{})
+		case <-f.outageGraceEnd:
+			f.apply(outageGraceExpired{})
+		case <-f.departures.notify:
+			f.apply(departuresUpdate{})
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// deliver hands news to the owner of the view and waits until they are in the view.
-func (f *Follower) deliver(ctx context.Context, n news) {
-	e := event{news: n, accepted: make(chan struct{})}
+// deliver passes an update to the goroutine that owns the view and waits until it is applied.
+func (f *Follower) deliver(ctx context.Context, n update) {
+	e := updateRequest{update: n, applied: make(chan struct{})}
 	select {
-	case f.events <- e:
-		<-e.accepted
+	case f.updates <- e:
+		<-e.applied
 	case <-ctx.Done():
 	}
 }
 
-// apply takes news into the view.
-func (f *Follower) apply(n news) {
+// apply applies an update and publishes the new view.
+func (f *Follower) apply(n update) {
 	view := *f.View()
 	then := n.apply(f, &view)
 	f.view.Store(&view)
@@ -164,37 +164,37 @@
 	}
 }
 
-// confirmEndpoints takes in that the source confirmed the endpoints listed at a time, and when it
-// was heard.
+// confirmEndpoints records that the source confirmed the listed endpoints as of at, and that it was
+// last heard from at heard.
 func (f *Follower) confirmEndpoints(view *View, at, heard time.Time) {
 	now := f.clock.Now()
 	if at.After(view.Confirmed) {
 		view.Confirmed = at
 	}
-	if heard.After(view.heard) {
-		if f.lapses.confirmed(view.heard, heard) {
-			f.release = f.clock.After(f.lapses.until.Sub(now))
+	if heard.After(view.lastHeard) {
+		if f.outageGrace.sourceConfirmed(view.lastHeard, heard) {
+			f.outageGraceEnd = f.clock.After(f.outageGrace.until.Sub(now))
 		}
-		view.heard = heard
+		view.lastHeard = heard
 	}
-	view.Fleet = f.lapses.keep(now, view.Fleet, view.listed)
+	view.Fleet = f.outageGrace.retain(now, view.Fleet, view.listed)
 }
 
-// tellDocument has those told who wait here for a newer document, and all others.
-func (f *Follower) tellDocument() {
-	f.history.wake()
+// announceDocument notifies waiting relay requests and the other instances of a newer document.
+func (f *Follower) announceDocument() {
+	f.history.notifyWaiters()
 	f.peers.Announce()
 }
 
-// wantDocument wakes the goroutine that takes documents from peers.
-func (f *Follower) wantDocument() {
+// wakeDocumentFetcher wakes the goroutine that fetches documents from peers.
+func (f *Follower) wakeDocumentFetcher() {
 	select {
-	case f.wanted <- struct{}{}:
+	case f.documentWanted <- struct{}{}:
 	default:
 	}
 }
 
-// compile reads a document; nil if it is not valid.
+// compile decodes and compiles a document. It returns nil if the document is invalid.
 func (f *Follower) compile(d Document, from string) *route.Table {
 	config, err := f.source.Decode(d)
 	if err == nil {
--- a/pkg/discovery/history.go
+++ b/pkg/discovery/history.go
@@ -2,75 +2,76 @@
 
 import "sync"
 
-// historyLength bounds the changes that are kept for those who are relayed to.
+// historyLength bounds the number of changes kept for relaying.
 const historyLength = 512
 
-// step is what changed between two revisions.
-type step struct {
+// historyEntry contains the changes between two revisions.
+type historyEntry struct {
 	from    uint64
 	changes Changes
 }
 
-// history keeps the last changes of the endpoints, and wakes those who wait for news. Safe for
+// history keeps recent changes of the endpoints and notifies waiting relay requests. It is safe for
 // concurrent use.
 type history struct {
-	mu    sync.Mutex
-	steps []step
-	next  chan struct{}
+	mu      sync.Mutex
+	entries []historyEntry
+	notify  chan struct{}
 }
 
-func newHistory() *history { return &history{next: make(chan struct{})} }
+func newHistory() *history { return &history{notify: make(chan struct{})} }
 
-// add appends changes that follow a revision.
+// add appends the changes that follow a revision.
 func (h *history) add(from uint64, changes Changes) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if changes.Revision == from {
 		return
 	}
-	if n := len(h.steps); n > 0 && h.steps[n-1].changes.Revision != from {
-		h.steps = nil
+	if n := len(h.entries); n > 0 && h.entries[n-1].changes.Revision != from {
+		h.entries = nil
 	}
-	h.steps = append(h.steps, step{from, changes})
-	if len(h.steps) > historyLength {
-		h.steps = h.steps[len(h.steps)-historyLength:]
+	h.entries = append(h.entries, historyEntry{from, changes})
+	if len(h.entries) > historyLength {
+		h.entries = h.entries[len(h.entries)-historyLength:]
 	}
 }
 
-// restart drops the changes: everything was read anew.
-func (h *history) restart() {
+// clear drops all changes after a full read.
+func (h *history) clear() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.steps = nil
+	h.entries = nil
 }
 
-// wake wakes those who wait. Changes are added before they are in the view, and told when
-// they are.
-func (h *history) wake() {
+// notifyWaiters wakes the waiting requests. It is called after the view that contains the changes
+// is published.
+func (h *history) notifyWaiters() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	close(h.next)
-	h.next = make(chan struct{})
+	close(h.notify)
+	h.notify = make(chan struct{})
 }
 
-// changed returns what is closed when something changes in the view after this call.
+// changed returns a channel that is closed at the next change of the view.
 func (h *history) changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.next
+	return h.notify
 }
 
-// since returns the changes after a revision, up to another; false if they are not kept.
+// since returns the changes after a revision up to another one, or false if they are no longer
+// kept.
 func (h *history) since(revision, upTo uint64) (Changes, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var all Changes
 	found := false
-	for _, s := range h.steps {
+	for _, s := range h.entries {
 		if s.changes.Revision <= revision || s.changes.Revision > upTo {
 			continue
 		}
-		// The first step may begin before the revision: what is told twice is the same.
+		// The first entry may start before the revision: applying a change twice is harmless.
 		found = found || s.from <= revision
 		all.Revision = s.changes.Revision
 		all.Endpoints = append(all.Endpoints, s.changes.Endpoints...)
@@ -78,43 +79,43 @@
 	return all, found && all.Revision == upTo
 }
 
-// Relay answers an instance that relies on this one: with what it does not have, or with
-// nothing new after the time to wait.
-func (f *Follower) Relay(selection RelaySelect) Relayed {
-	until := f.clock.Now().Add(relayingFor)
-	f.relaying.Store(&until)
-	timeout := f.clock.After(selection.Wait)
+// Relay responds to an instance that uses this one as a relay. It returns as soon as there is newer
+// data, or when the requested timeout expires.
+func (f *Follower) Relay(request RelaySelect) Relayed {
+	until := f.clock.Now().Add(relayRoleTTL)
+	f.relayingUntil.Store(&until)
+	timeout := f.clock.After(request.Wait)
 	for {
 		changed := f.history.changed()
 		view := f.View()
-		if view.listed.Revision > selection.Since || view.Newest() > selection.Document || ordersOthers(view, selection) {
-			return f.relay(view, selection.Since)
+		if view.listed.Revision > request.Since || view.Newest() > request.Document || hasNewerOrders(view, request) {
+			return f.relayResponse(view, request.Since)
 		}
 		select {
 		case <-changed:
 		case <-timeout:
-			return f.relay(f.View(), selection.Since)
+			return f.relayResponse(f.View(), request.Since)
 		}
 	}
 }
 
-// ordersOthers tells whether an instance knows of orders that an asker does not know, or of their end.
-// One that told none is not woken: it asks the source.
-func ordersOthers(view *View, asker RelaySelect) bool {
+// hasNewerOrders reports whether the view has orders that the requester lacks. Requesters that sent
+// no orders are not woken, since they query the source for them.
+func hasNewerOrders(view *View, requester RelaySelect) bool {
 	evacuations, rollouts := view.Evacuations(), view.Rollouts()
-	return asker.Evacuations.Known() && evacuations.Revision > asker.Evacuations.Revision && !evacuations.Same(asker.Evacuations) ||
-		asker.Rollouts.Known() && rollouts.Revision > asker.Rollouts.Revision && !rollouts.Same(asker.Rollouts)
+	return requester.Evacuations.Known() && evacuations.Revision > requester.Evacuations.Revision && !evacuations.Same(requester.Evacuations) ||
+		requester.Rollouts.Known() && rollouts.Revision > requester.Rollouts.Revision && !rollouts.Same(requester.Rollouts)
 }
 
-// relay returns what a view has beyond a revision of the endpoints.
-func (f *Follower) relay(view *View, since uint64) Relayed {
+// relayResponse returns the changes in a view after a revision of the endpoints.
+func (f *Follower) relayResponse(view *View, since uint64) Relayed {
 	now := f.clock.Now()
-	told := Relayed{Age: view.FleetAge(now), Mark: view.mark(now)}
+	response := Relayed{Age: view.FleetAge(now), Mark: view.status(now)}
 	if view.listed.Revision <= since {
-		told.Changes.Revision = view.listed.Revision
-		return told
+		response.Changes.Revision = view.listed.Revision
+		return response
 	}
 	changes, kept := f.history.since(since, view.listed.Revision)
-	told.Changes, told.Gone = changes, !kept
-	return told
+	response.Changes, response.Gone = changes, !kept
+	return response
 }
--- a/pkg/discovery/lapse.go
+++ b/pkg/discovery/lapse.go
@@ -7,31 +7,32 @@
 )
 
 const (
-	// outageAfter is the time without word from the source after which entries may have
-	// lapsed there whose endpoints live.
-	outageAfter = 2 * time.Second
-	// backWithin is the time within which those entries are back after an outage.
-	backWithin = 2 * time.Second
+	// outageThreshold is how long the source must be unreachable before entries of live endpoints
+	// may have expired there.
+	outageThreshold = 2 * time.Second
+	// reregistrationGrace is how long live endpoints may take to register again after an outage.
+	reregistrationGrace = 2 * time.Second
 )
 
-// lapses keeps endpoints for a while after an outage of the source whose entries are gone:
-// the source lets entries lapse that are not renewed, and while it is out none can be. One
-// that is still missing after backWithin is taken as gone; one that said it was leaving is
-// not kept. It belongs to the goroutine that owns the view.
-type lapses struct{ until time.Time }
+// outageGrace retains endpoints whose entries expired during an outage of the source, because
+// entries cannot be renewed then. Endpoints that have not registered again within
+// reregistrationGrace are dropped, and departing endpoints are not retained. It is only accessed by
+// the goroutine that owns the view.
+type outageGrace struct{ until time.Time }
 
-// confirmed notes that the source confirmed the view at a time, and before that last at
-// another, if ever. It tells whether an outage ended.
-func (l *lapses) confirmed(before, now time.Time) bool {
-	if before.IsZero() || now.Sub(before) < outageAfter {
+// sourceConfirmed records that the source confirmed the view at now, after it last did so at
+// before, which is zero if it never did. It reports whether an outage has ended.
+func (l *outageGrace) sourceConfirmed(before, now time.Time) bool {
+	if before.IsZero() || now.Sub(before) < outageThreshold {
 		return false
 	}
-	l.until = now.Add(backWithin)
+	l.until = now.Add(reregistrationGrace)
 	return true
 }
 
-// keep returns the listed endpoints, and those of the snapshot before that are kept.
-func (l *lapses) keep(now time.Time, before, listed *fleet.Snapshot) *fleet.Snapshot {
+// retain returns the listed endpoints together with those of the previous snapshot that are within
+// the grace period.
+func (l *outageGrace) retain(now time.Time, before, listed *fleet.Snapshot) *fleet.Snapshot {
 	if !now.Before(l.until) {
 		return listed
 	}
--- a/pkg/discovery/news.go
+++ b/pkg/discovery/news.go
@@ -9,62 +9,61 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/route"
 )
 
-// news is something learnt. The goroutine that owns the view applies it.
-type news interface {
-	// apply changes a copy of the view, and returns what is to be done once that is the view;
-	// nil if nothing is.
+// update is a change of the view, applied by the goroutine that owns it.
+type update interface {
+	// apply modifies a copy of the view. It returns the function to call once the view is
+	// published, or nil.
 	apply(f *Follower, view *View) (then func())
 }
 
-// stateNews are all endpoints, confirmed at a time, and when the source was heard.
-type stateNews struct {
+// endpointsUpdate contains all endpoints, when the source confirmed them and when it was last heard
+// from.
+type endpointsUpdate struct {
 	state State
 	at    time.Time
 	heard time.Time
 }
 
-func (n stateNews) apply(f *Follower, view *View) func() {
+func (n endpointsUpdate) apply(f *Follower, view *View) func() {
 	if n.state.Revision < view.listed.Revision {
 		return nil
 	}
-	f.dropRefused(view, n.state.Refused)
+	f.dropInvalid(view, n.state.Refused)
 	before := view.listed.Revision
 	view.listed = view.listed.Replace(n.state.Revision, n.state.Endpoints)
 	f.confirmEndpoints(view, n.at, n.heard)
 	if n.state.Revision == before {
 		return nil
 	}
-	f.history.restart()
-	return f.history.wake
+	f.history.clear()
+	return f.history.notifyWaiters
 }
 
-// changeNews are changes of the endpoints after a revision, confirmed at a time, and when the source
-// was heard.
-type changeNews struct {
+// changesUpdate contains the changes of the endpoints after a revision, when the source confirmed
+// them and when it was last heard from.
+type changesUpdate struct {
 	changes Changes
 	since   uint64
 	at      time.Time
 	heard   time.Time
 }
 
-func (n changeNews) apply(f *Follower, view *View) func() {
+func (n changesUpdate) apply(f *Follower, view *View) func() {
 	before := view.listed.Revision
 	if n.since > before || n.changes.Revision < before {
-		// They follow what the view does not have, or it knows more already. They confirm
-		// nothing.
+		// The changes start after the view's revision or are outdated, so they confirm nothing.
 		return nil
 	}
-	f.dropRefused(view, n.changes.Endpoints)
+	f.dropInvalid(view, n.changes.Endpoints)
 	view.listed = view.listed.With(n.changes.Revision, n.changes.Endpoints)
 	f.confirmEndpoints(view, n.at, n.heard)
 	f.history.add(before, n.changes)
-	return f.history.wake
+	return f.history.notifyWaiters
 }
 
-// dropRefused logs and counts the entries that name no endpoint to use, and drops the endpoints that
-// were known under their names: those have not lapsed in an outage, after which they would be kept for a
-// while.
-func (f *Follower) dropRefused(view *View, changes []fleet.Change) {
+// dropInvalid logs and counts invalid entries, and removes the endpoints known under their names.
+// Such endpoints did not expire in an outage, so they must not be retained.
+func (f *Follower) dropInvalid(view *View, changes []fleet.Change) {
 	for _, c := range changes {
 		if c.Refused == "" {
 			continue
@@ -75,49 +74,49 @@
 	}
 }
 
-// documentNews is a document that was the newest as of a revision of the source, confirmed
-// at a time.
-type documentNews struct {
+// documentUpdate contains a document that was the newest as of a revision of the source, and when
+// that was confirmed.
+type documentUpdate struct {
 	document Document
-	// table is what it compiles to; nil if it does not.
+	// table is the compiled document, or nil if it is invalid.
 	table *route.Table
 	mark  Mark
 	at    time.Time
 	from  string
-	// orders are those that the source told; a peer tells what holds in its mark.
+	// orders contains the orders returned by the source. Updates from peers carry them in mark.
 	orders orders
 }
 
-func (n documentNews) apply(f *Follower, view *View) func() {
-	if !n.orders.follow(view) {
+func (n documentUpdate) apply(f *Follower, view *View) func() {
+	if !n.orders.contiguous(view) {
 		return nil
 	}
-	changed := f.evacuate(view, n.orders.after(view.Evacuations()))
-	changed = f.evacuate(view, n.mark.Evacuations) || changed
-	changed = f.roll(view, n.orders.rolledAfter(view.Rollouts())) || changed
-	changed = f.roll(view, n.mark.Rollouts) || changed
-	return f.wakeIf(changed, n.takeDocument(f, view))
+	changed := f.updateEvacuations(view, n.orders.applyEvacuations(view.Evacuations()))
+	changed = f.updateEvacuations(view, n.mark.Evacuations) || changed
+	changed = f.updateRollouts(view, n.orders.applyRollouts(view.Rollouts())) || changed
+	changed = f.updateRollouts(view, n.mark.Rollouts) || changed
+	return f.notifyIf(changed, n.applyDocument(f, view))
 }
 
-// takeDocument takes the document in, or that there is no newer one.
-func (n documentNews) takeDocument(f *Follower, view *View) func() {
+// applyDocument activates a newer document or confirms the current one.
+func (n documentUpdate) applyDocument(f *Follower, view *View) func() {
 	if n.document.Revision > view.Document.Revision {
-		return n.putInForce(f, view)
+		return n.activate(f, view)
 	}
 	view.confirmDocument(n.mark, n.at)
 	return nil
 }
 
-// putInForce takes the document in, unless it does not compile or is an older version.
-func (n documentNews) putInForce(f *Follower, view *View) func() {
+// activate puts the document in force unless it is invalid or has an older version.
+func (n documentUpdate) activate(f *Follower, view *View) func() {
 	fields := logrus.Fields{"event": "configuration_in_force", "revision": n.document.Revision, "from": n.from}
 	if n.table == nil {
-		view.refuse(n.mark, n.at)
+		view.reject(n.mark, n.at)
 		return nil
 	}
 	fields["version"] = n.table.Version
 	if view.Table != nil && n.table.Version < view.Table.Version {
-		view.refuse(n.mark, n.at)
+		view.reject(n.mark, n.at)
 		fields["event"], fields["in_force"] = "configuration_older", view.Table.Version
 		f.log.WithFields(fields).Warn()
 		return nil
@@ -126,51 +125,51 @@
 	lacked, _ := view.Lacking(now)
 	view.Table, view.Document = n.table, n.document
 	view.DocumentAt, view.DocumentConfirmed = max(view.DocumentAt, n.mark.At), n.at
-	view.caughtUp(now)
+	view.documentActivated(now)
 	fields["bytes"], fields["lacked_ms"] = len(n.document.Data), lacked.Milliseconds()
 	f.log.WithFields(fields).Info()
-	return f.tellDocument
+	return f.announceDocument
 }
 
-// markNews is what a peer told of its document, as of a time.
-type markNews struct {
+// statusUpdate contains a peer's document status as of a time.
+type statusUpdate struct {
 	mark Mark
 	at   time.Time
 }
 
-func (n markNews) apply(f *Follower, view *View) func() {
-	ordered := f.evacuate(view, n.mark.Evacuations)
-	ordered = f.roll(view, n.mark.Rollouts) || ordered
+func (n statusUpdate) apply(f *Follower, view *View) func() {
+	ordered := f.updateEvacuations(view, n.mark.Evacuations)
+	ordered = f.updateRollouts(view, n.mark.Rollouts) || ordered
 	view.confirmDocument(n.mark, n.at)
 	now := f.clock.Now()
-	had := view.hear(n.mark.Revision, true, now)
-	heard := view.hear(n.mark.Newest, false, now)
-	return f.wakeIf(ordered, f.spread(had || heard))
+	had := view.noteRevision(n.mark.Revision, true, now)
+	heard := view.noteRevision(n.mark.Newest, false, now)
+	return f.notifyIf(ordered, f.notifyIfNew(had || heard))
 }
 
-// rumourNews is the revision of a document that a peer has in force.
-type rumourNews uint64
+// revisionUpdate is the document revision that a peer has in force.
+type revisionUpdate uint64
 
-func (n rumourNews) apply(f *Follower, view *View) func() {
-	return f.spread(view.hear(uint64(n), true, f.clock.Now()))
+func (n revisionUpdate) apply(f *Follower, view *View) func() {
+	return f.notifyIfNew(view.noteRevision(uint64(n), true, f.clock.Now()))
 }
 
-// spread returns what is to be done when word came of a document that was not heard of
-// before: it is told on, and the document taken from a peer.
-func (f *Follower) spread(isNew bool) func() {
+// notifyIfNew returns a function that announces a newly discovered document revision and starts to
+// fetch the document from a peer. It returns nil if the revision is not new.
+func (f *Follower) notifyIfNew(isNew bool) func() {
 	if !isNew {
 		return nil
 	}
 	return func() {
-		f.history.wake()
-		f.wantDocument()
+		f.history.notifyWaiters()
+		f.wakeDocumentFetcher()
 	}
 }
 
-// lapseNews says that endpoints kept after an outage are to be taken as gone.
-type lapseNews struct{}
+// outageGraceExpired drops the endpoints retained after an outage.
+type outageGraceExpired struct{}
 
-func (lapseNews) apply(f *Follower, view *View) func() {
+func (outageGraceExpired) apply(f *Follower, view *View) func() {
 	if lapsed := len(view.Fleet.All()) - len(view.listed.All()); lapsed > 0 {
 		f.log.WithFields(logrus.Fields{"event": "endpoints_lapsed", "endpoints": lapsed, "revision": view.listed.Revision}).Info()
 	}
--- a/pkg/discovery/rolling.go
+++ b/pkg/discovery/rolling.go
@@ -8,9 +8,9 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-// rolledAfter returns which rollouts are ordered after the orders, where others were known before: those, if
-// the orders are older.
-func (o orders) rolledAfter(known fleet.Rollouts) fleet.Rollouts {
+// applyRollouts returns the rollouts in force after the orders are applied to known. It returns
+// known if the orders are older.
+func (o orders) applyRollouts(known fleet.Rollouts) fleet.Rollouts {
 	if o.at <= known.Revision {
 		return known
 	}
@@ -20,12 +20,12 @@
 	return known.With(o.at, o.rollouts)
 }
 
-// roll takes in which rollouts are ordered, and tells whether that changes anything. What is older than
-// what the view knows changes nothing.
-func (f *Follower) roll(view *View, r fleet.Rollouts) bool {
+// updateRollouts applies rollouts to the view and reports whether they changed. Rollouts older than
+// the view's are ignored.
+func (f *Follower) updateRollouts(view *View, r fleet.Rollouts) bool {
 	before := view.Rollouts()
-	// An endpoint may have waited for word of the orders, so that their revision alone may change something.
-	view.change(func(s *fleet.Snapshot) *fleet.Snapshot { return s.Roll(r) })
+	// A newer revision alone may admit endpoints that were withheld until the orders were known.
+	view.updateSnapshots(func(s *fleet.Snapshot) *fleet.Snapshot { return s.Roll(r) })
 	after := view.Rollouts()
 	if after.Same(before) {
 		return false
@@ -49,8 +49,8 @@
 	}).Info()
 }
 
-// refuseRollouts logs what was written in the place of orders and is none; it changes nothing.
-func (f *Follower) refuseRollouts(given []fleet.RolloutOrder) {
+// logInvalidRollouts logs invalid rollout orders, which are ignored.
+func (f *Follower) logInvalidRollouts(given []fleet.RolloutOrder) {
 	for _, order := range given {
 		if order.Refused != "" {
 			f.log.WithFields(logrus.Fields{"event": "rollout_refused", "service": order.Service, "order": order.Revision}).Warn(order.Refused)
@@ -58,16 +58,16 @@
 	}
 }
 
-// Stand takes in how rollouts stand, as this instance is to go by. It returns when that is in the view, or
-// the context ends.
+// Stand applies the standings of the rollouts that this instance has to follow. It returns once
+// they are in the view or ctx is done.
 func (f *Follower) Stand(ctx context.Context, standings fleet.Standings) {
-	f.deliver(ctx, standNews(standings))
+	f.deliver(ctx, standingsUpdate(standings))
 }
 
-// standNews are how rollouts stand.
-type standNews fleet.Standings
+// standingsUpdate contains the standings of the rollouts.
+type standingsUpdate fleet.Standings
 
-func (n standNews) apply(_ *Follower, view *View) func() {
-	view.change(func(s *fleet.Snapshot) *fleet.Snapshot { return s.Stand(fleet.Standings(n)) })
+func (n standingsUpdate) apply(_ *Follower, view *View) func() {
+	view.updateSnapshots(func(s *fleet.Snapshot) *fleet.Snapshot { return s.Stand(fleet.Standings(n)) })
 	return nil
 }
--- a/pkg/discovery/rolling_test.go
+++ b/pkg/discovery/rolling_test.go
@@ -13,7 +13,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/logging"
 )
 
-// ordersOf returns the orders that give rollouts.
+// ordersOf returns the orders that lead to the given rollouts.
 func ordersOf(rollouts []fleet.Rollout) []fleet.RolloutOrder {
 	var orders []fleet.RolloutOrder
 	for _, r := range rollouts {
@@ -24,10 +24,10 @@
 
 var _ = Describe("an order of a rollout", func() {
 	toV2 := fleet.Rollout{Service: "s", Version: "v2", OverMs: 1000, Revision: 6}
-	var store, peers *source
+	var store, peers *fakeSource
 
 	follow := func() *discovery.Follower {
-		f := discovery.New(store, peersOf{peers}, clockwork.NewRealClock(), logging.Discard().For("discovery"))
+		f := discovery.New(store, fakePeers{peers}, clockwork.NewRealClock(), logging.Discard().For("discovery"))
 		var t tomb.Tomb
 		t.Go(func() error { return f.Run(&t) })
 		DeferCleanup(func() {
@@ -41,14 +41,14 @@
 	}
 
 	BeforeEach(func() {
-		store, peers = &source{}, &source{out: true}
+		store, peers = &fakeSource{}, &fakeSource{unavailable: true}
 		store.state = inDomains(5)
 	})
 
-	It("is known as soon as it is given, and its version gets nothing until it is told to", func() {
+	It("is known as soon as it is given, and its version gets no requests before its standing allows it", func() {
 		f := follow()
 		Eventually(func() bool { return f.View().Complete() }).Should(BeTrue())
-		store.set(func(s *source) {
+		store.set(func(s *fakeSource) {
 			s.state = inDomains(7)
 			s.state.Rollouts = []fleet.Rollout{toV2}
 			s.state.Endpoints = append(s.state.Endpoints, fleet.Endpoint{ID: "new", Service: "s", FailureDomain: "a", Version: "v2"})
@@ -59,14 +59,14 @@
 		Expect(f.View().Fleet.MayGetWork("new")).To(BeFalse())
 	})
 
-	It("is asked of the source by one whose relay knows of no rollouts", func() {
-		peers.set(func(s *source) {
-			s.out, s.state, s.relays, s.silentOnRollouts = false, inDomains(5), []string{"relay"}, true
+	It("is asked of the source when the relay does not support rollouts", func() {
+		peers.set(func(s *fakeSource) {
+			s.unavailable, s.state, s.relays, s.silentOnRollouts = false, inDomains(5), []string{"relay"}, true
 		})
 		f := follow()
 		Eventually(func() bool { return f.View().Complete() }).Should(BeTrue())
-		peers.set(func(s *source) { s.state = inDomains(6) })
-		store.set(func(s *source) {
+		peers.set(func(s *fakeSource) { s.state = inDomains(6) })
+		store.set(func(s *fakeSource) {
 			s.state = inDomains(6)
 			s.state.Rollouts = []fleet.Rollout{toV2}
 		})
--- a/pkg/discovery/shelf.go
+++ b/pkg/discovery/shelf.go
@@ -14,55 +14,55 @@
 )
 
 const (
-	// pieceSize bounds the bytes of one piece: what else goes over the connection is held up
-	// by a piece no longer than 35 ms on a link of 10 Mbit/s (with a third more for its text).
+	// pieceSize bounds the size of a piece, and with it the delay of other messages on the
+	// connection.
 	pieceSize = 32 << 10
-	// servedAtOnce is how many peers take a document here at a time. Those that have it then
-	// pass it on, so that few at a time are done sooner than all together. One that has not
-	// asked for as long as a piece may take has given up.
-	servedAtOnce = 3
-	servedFor    = pieceTimeout
-	// largestDocument bounds a document that is unpacked.
-	largestDocument = 64 << 20
+	// maxConcurrentReaders bounds the number of peers that fetch a document from this instance at a
+	// time. Peers that have the document serve it in turn, so that serving a few at a time is
+	// faster overall. A peer that has not requested a piece within readerTTL is dropped.
+	maxConcurrentReaders = 3
+	readerTTL            = pieceTimeout
+	// maxDocumentSize bounds the uncompressed size of a document.
+	maxDocumentSize = 64 << 20
 )
 
-// PieceSelect asks for a piece of a packed document.
+// PieceSelect requests a piece of a compressed document.
 type PieceSelect struct {
-	// Asker is the name of the instance that asks.
+	// Asker is the name of the requesting instance.
 	Asker string `json:"asker"`
-	// NewerThan is the revision of the document that it has.
+	// NewerThan is the revision of the requester's document.
 	NewerThan uint64 `json:"newer_than"`
-	// MaxAge, in nanoseconds, is how long ago the peer may have known at the latest that its
-	// document is the newest; 0: any time.
+	// MaxAge is the maximum age, in nanoseconds, of the peer's confirmation that its document is
+	// the newest. 0 accepts any age.
 	MaxAge time.Duration `json:"max_age_ns,omitempty"`
-	// Digest and Offset say which packed document the asker has begun to take, and how many
-	// bytes of it it has.
+	// Digest and Offset identify the compressed document that the requester has partially fetched,
+	// and the number of bytes it has.
 	Digest string `json:"digest,omitempty"`
 	Offset int    `json:"offset,omitempty"`
 }
 
-// Piece is a piece of the packed document that an instance has in force.
+// Piece is a piece of the compressed document that an instance has in force.
 type Piece struct {
 	Mark Mark `json:"mark"`
-	// Busy says that others are served first: ask someone else.
+	// Busy is set if the instance is already serving other peers.
 	Busy bool `json:"busy,omitempty"`
-	// Digest and Size are those of the packed document; Size 0 says that there is no newer one.
+	// Digest and Size describe the compressed document. Size is 0 if there is no newer one.
 	Digest string `json:"digest,omitempty"`
 	Size   int    `json:"size,omitempty"`
-	// Offset is 0 if the asker had begun with another one.
+	// Offset is 0 if the requester has a part of a different document.
 	Offset int    `json:"offset,omitempty"`
 	Data   []byte `json:"data,omitempty"`
 }
 
-// parcel is a packed document.
-type parcel struct {
+// packedDocument is a compressed document.
+type packedDocument struct {
 	revision uint64
 	digest   string
 	data     []byte
 }
 
-func newParcel(revision uint64, data []byte) *parcel {
-	return &parcel{revision: revision, digest: digestOf(data), data: data}
+func newPackedDocument(revision uint64, data []byte) *packedDocument {
+	return &packedDocument{revision: revision, digest: digestOf(data), data: data}
 }
 
 func digestOf(data []byte) string {
@@ -70,118 +70,117 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// pack compresses a document.
-func pack(d Document) (*parcel, error) {
+func pack(d Document) (*packedDocument, error) {
 	data, err := packed.Pack(d.Data)
 	if err != nil {
 		return nil, err
 	}
-	return newParcel(d.Revision, data), nil
+	return newPackedDocument(d.Revision, data), nil
 }
 
-// unpack returns the document, if the bytes are those that the digest names.
-func (p *parcel) unpack() (Document, error) {
+// unpack verifies the digest and returns the decompressed document.
+func (p *packedDocument) unpack() (Document, error) {
 	if digestOf(p.data) != p.digest {
-		return Document{}, problem.New(problem.Invalid, "take it from another peer", "the packed document of revision %d is not what its digest says", p.revision)
+		return Document{}, problem.New(problem.Invalid, "fetch it from another peer", "digest mismatch in the compressed document of revision %d", p.revision)
 	}
-	data, err := packed.Unpack(p.data, largestDocument)
+	data, err := packed.Unpack(p.data, maxDocumentSize)
 	if errors.Is(err, packed.ErrTooLarge) {
-		return Document{}, problem.New(problem.Invalid, "write a smaller configuration", "the document of revision %d is larger than %d bytes", p.revision, largestDocument)
+		return Document{}, problem.New(problem.Invalid, "write a smaller configuration", "the document of revision %d is larger than %d bytes", p.revision, maxDocumentSize)
 	}
 	if err != nil {
-		return Document{}, problem.Wrap(err, problem.Invalid, "take it from another peer", "the packed document of revision %d does not unpack", p.revision)
+		return Document{}, problem.Wrap(err, problem.Invalid, "fetch it from another peer", "decompressing the document of revision %d failed", p.revision)
 	}
 	return Document{Revision: p.revision, Data: data}, nil
 }
 
-// shelf keeps the document in force packed, and tells whom it is given to. Safe for
-// concurrent use.
-type shelf struct {
+// documentCache holds the compressed form of the document in force and limits the number of peers
+// that fetch it at a time. It is safe for concurrent use.
+type documentCache struct {
 	clock clockwork.Clock
 
-	mu     sync.Mutex
-	parcel *parcel
-	// served has when those asked last that take it now.
-	served map[string]time.Time
+	mu       sync.Mutex
+	document *packedDocument
+	// readers maps the peers that are fetching the document to the time of their last request.
+	readers map[string]time.Time
 }
 
-func newShelf(clock clockwork.Clock) *shelf {
-	return &shelf{clock: clock, served: map[string]time.Time{}}
+func newDocumentCache(clock clockwork.Clock) *documentCache {
+	return &documentCache{clock: clock, readers: map[string]time.Time{}}
 }
 
-// put keeps a document that came packed.
-func (s *shelf) put(p *parcel) {
+// put stores a compressed document unless a newer one is cached.
+func (s *documentCache) put(p *packedDocument) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.parcel == nil || p.revision > s.parcel.revision {
-		s.parcel = p
+	if s.document == nil || p.revision > s.document.revision {
+		s.document = p
 	}
 }
 
-// of returns a document packed.
-func (s *shelf) of(d Document) (*parcel, error) {
+// packed returns the compressed form of a document.
+func (s *documentCache) packed(d Document) (*packedDocument, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.parcel != nil && s.parcel.revision == d.Revision {
-		return s.parcel, nil
+	if s.document != nil && s.document.revision == d.Revision {
+		return s.document, nil
 	}
 	p, err := pack(d)
 	if err != nil {
 		return nil, err
 	}
-	if s.parcel == nil || p.revision > s.parcel.revision {
-		s.parcel = p
+	if s.document == nil || p.revision > s.document.revision {
+		s.document = p
 	}
 	return p, nil
 }
 
-// admit tells whether an asker is served now.
-func (s *shelf) admit(asker string) bool {
+// admit reports whether a peer may fetch the document now.
+func (s *documentCache) admit(peer string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
-	for name, at := range s.served {
-		if now.Sub(at) > servedFor {
-			delete(s.served, name)
+	for name, at := range s.readers {
+		if now.Sub(at) > readerTTL {
+			delete(s.readers, name)
 		}
 	}
-	if _, begun := s.served[asker]; !begun && len(s.served) >= servedAtOnce {
+	if _, begun := s.readers[peer]; !begun && len(s.readers) >= maxConcurrentReaders {
 		return false
 	}
-	s.served[asker] = now
+	s.readers[peer] = now
 	return true
 }
 
-// done notes that an asker has taken all.
-func (s *shelf) done(asker string) {
+// release records that a peer has fetched the whole document.
+func (s *documentCache) release(peer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.served, asker)
+	delete(s.readers, peer)
 }
 
-// Piece answers a peer that takes the document in force here.
-func (f *Follower) Piece(selection PieceSelect) (Piece, error) {
+// Piece responds to a peer that fetches the document in force.
+func (f *Follower) Piece(request PieceSelect) (Piece, error) {
 	view := f.View()
-	piece := Piece{Mark: view.mark(f.clock.Now())}
-	if view.Document.Revision <= selection.NewerThan || selection.MaxAge > 0 && piece.Mark.Age > selection.MaxAge {
+	piece := Piece{Mark: view.status(f.clock.Now())}
+	if view.Document.Revision <= request.NewerThan || request.MaxAge > 0 && piece.Mark.Age > request.MaxAge {
 		return piece, nil
 	}
-	if !f.shelf.admit(selection.Asker) {
+	if !f.documentCache.admit(request.Asker) {
 		piece.Busy = true
 		return piece, nil
 	}
-	p, err := f.shelf.of(view.Document)
+	p, err := f.documentCache.packed(view.Document)
 	if err != nil {
-		return Piece{}, problem.Wrap(err, problem.Internal, "take it from another peer", "the document of revision %d can't be packed", view.Document.Revision)
+		return Piece{}, problem.Wrap(err, problem.Internal, "fetch it from another peer", "compressing the document of revision %d failed", view.Document.Revision)
 	}
 	piece.Digest, piece.Size = p.digest, len(p.data)
-	if selection.Digest == p.digest && selection.Offset > 0 && selection.Offset < len(p.data) {
-		piece.Offset = selection.Offset
+	if request.Digest == p.digest && request.Offset > 0 && request.Offset < len(p.data) {
+		piece.Offset = request.Offset
 	}
 	end := min(len(p.data), piece.Offset+pieceSize)
 	piece.Data = p.data[piece.Offset:end]
 	if end == len(p.data) {
-		f.shelf.done(selection.Asker)
+		f.documentCache.release(request.Asker)
 	}
 	return piece, nil
 }
--- a/pkg/discovery/taking_test.go
+++ b/pkg/discovery/taking_test.go
@@ -16,41 +16,40 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/logging"
 )
 
-// holders are peers that give a document in pieces of a few bytes, each with a fault of its
-// own.
-type holders struct {
-	peersOf
+// pieceHolders are peers that serve a document in small pieces, each with its own fault.
+type pieceHolders struct {
+	fakePeers
 	mu sync.Mutex
-	// names are the peers, in the order in which they are asked.
+	// names contains the peers in the order in which they are tried.
 	names []string
-	// breaks has the offset from which a peer gives nothing more, spoils the peers that give
-	// wrong bytes, busy those that serve others.
-	breaks map[string]int
-	spoils map[string]bool
-	busy   map[string]bool
-	// given has the offsets that each peer gave, asked how often each was asked.
-	given map[string][]int
-	asked map[string]int
+	// failFrom contains the offset from which a peer fails, corrupt the peers that return wrong
+	// bytes, and busy the peers that are busy.
+	failFrom map[string]int
+	corrupt  map[string]bool
+	busy     map[string]bool
+	// served contains the offsets that each peer served, and asked the number of requests to it.
+	served map[string][]int
+	asked  map[string]int
 }
 
 const smallPiece = 16
 
-func newHolders(s *source, names ...string) *holders {
-	return &holders{
-		peersOf: peersOf{s}, names: names, breaks: map[string]int{}, spoils: map[string]bool{}, busy: map[string]bool{},
-		given: map[string][]int{}, asked: map[string]int{},
+func newHolders(s *fakeSource, names ...string) *pieceHolders {
+	return &pieceHolders{
+		fakePeers: fakePeers{s}, names: names, failFrom: map[string]int{}, corrupt: map[string]bool{}, busy: map[string]bool{},
+		served: map[string][]int{}, asked: map[string]int{},
 	}
 }
 
-func (h *holders) Holders(newerThan uint64) []string {
-	if h.peersOf.Holders(newerThan) == nil {
+func (h *pieceHolders) Holders(newerThan uint64) []string {
+	if h.fakePeers.Holders(newerThan) == nil {
 		return nil
 	}
 	return h.names
 }
 
-func (h *holders) Piece(ctx context.Context, peer string, selection discovery.PieceSelect) (discovery.Piece, error) {
-	whole, err := h.peersOf.Piece(ctx, peer, selection)
+func (h *pieceHolders) Piece(ctx context.Context, peer string, selection discovery.PieceSelect) (discovery.Piece, error) {
+	whole, err := h.fakePeers.Piece(ctx, peer, selection)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.asked[peer]++
@@ -64,27 +63,27 @@
 	if selection.Digest == whole.Digest && selection.Offset < whole.Size {
 		piece.Offset = selection.Offset
 	}
-	if limit, breaks := h.breaks[peer]; breaks && piece.Offset >= limit {
-		return discovery.Piece{}, errOut
+	if limit, breaks := h.failFrom[peer]; breaks && piece.Offset >= limit {
+		return discovery.Piece{}, errUnavailable
 	}
 	piece.Data = append([]byte(nil), whole.Data[piece.Offset:min(whole.Size, piece.Offset+smallPiece)]...)
-	if h.spoils[peer] {
+	if h.corrupt[peer] {
 		piece.Data[0]++
 	}
-	h.given[peer] = append(h.given[peer], piece.Offset)
+	h.served[peer] = append(h.served[peer], piece.Offset)
 	return piece, nil
 }
 
-func (h *holders) gave(peer string) []int {
+func (h *pieceHolders) servedOffsets(peer string) []int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]int(nil), h.given[peer]...)
+	return append([]int(nil), h.served[peer]...)
 }
 
-var _ = Describe("taking a document from peers", func() {
+var _ = Describe("fetching a document from peers", func() {
 	var (
-		store, others *source
-		peers         *holders
+		store, others *fakeSource
+		peers         *pieceHolders
 		f             *discovery.Follower
 	)
 	version := func() uint64 {
@@ -93,9 +92,9 @@
 		}
 		return f.View().Table.Version
 	}
-	// begin starts a follower with version 3 whose source is then out.
+	// begin starts a follower with version 3 and then makes its source unavailable.
 	begin := func(names ...string) {
-		store, others = &source{}, &source{out: true}
+		store, others = &fakeSource{}, &fakeSource{unavailable: true}
 		store.state = state(5, 4, 3)
 		peers = newHolders(others, names...)
 		f = discovery.New(store, peers, clockwork.NewRealClock(), logging.Discard().For("discovery"))
@@ -106,49 +105,49 @@
 			_ = t.Wait()
 		})
 		Eventually(version).Should(Equal(uint64(3)))
-		store.set(func(s *source) { s.out = true })
+		store.set(func(s *fakeSource) { s.unavailable = true })
 	}
-	newer := func() { others.set(func(s *source) { s.out, s.state = false, state(9, 8, 7) }) }
+	newer := func() { others.set(func(s *fakeSource) { s.unavailable, s.state = false, state(9, 8, 7) }) }
 
-	It("goes on at another peer where one broke off", func() {
+	It("continues at another peer where one failed", func() {
 		begin("first", "second")
-		peers.breaks["first"] = 2 * smallPiece
+		peers.failFrom["first"] = 2 * smallPiece
 		newer()
 		f.Heard(8)
 		Eventually(version).Should(Equal(uint64(7)))
-		Expect(peers.gave("first")).To(Equal([]int{0, smallPiece}))
-		Expect(peers.gave("second")[0]).To(Equal(2 * smallPiece))
+		Expect(peers.servedOffsets("first")).To(Equal([]int{0, smallPiece}))
+		Expect(peers.servedOffsets("second")[0]).To(Equal(2 * smallPiece))
 	})
 
-	It("asks another peer while one is busy", func() {
+	It("tries another peer while one is busy", func() {
 		begin("first", "second")
 		peers.busy["first"] = true
 		newer()
 		f.Heard(8)
 		Eventually(version).Should(Equal(uint64(7)))
-		Expect(peers.gave("first")).To(BeEmpty())
+		Expect(peers.servedOffsets("first")).To(BeEmpty())
 	})
 
-	It("puts nothing in force whose bytes are not those of its digest", func() {
+	It("rejects a document whose bytes do not match its digest", func() {
 		begin("first", "second")
-		peers.spoils["first"] = true
+		peers.corrupt["first"] = true
 		newer()
 		f.Heard(8)
 		Eventually(version).Should(Equal(uint64(7)))
-		Expect(peers.gave("second")[0]).To(BeZero())
+		Expect(peers.servedOffsets("second")[0]).To(BeZero())
 	})
 
-	It("reads the source when no peer gives what is known to exist", func() {
+	It("reads the source when no peer provides a document that is known to exist", func() {
 		begin("first")
 		peers.busy["first"] = true
 		newer()
-		others.set(func(s *source) { s.relays = []string{"first"} })
-		store.set(func(s *source) { s.out, s.state = false, state(9, 8, 7) })
+		others.set(func(s *fakeSource) { s.relays = []string{"first"} })
+		store.set(func(s *fakeSource) { s.unavailable, s.state = false, state(9, 8, 7) })
 		f.Heard(8)
 		Eventually(version).Should(Equal(uint64(7)))
 	})
 
-	It("is behind when it lacks what others have for a while, until they fall silent", func() {
+	It("is behind once the grace period for a newer document has passed, until its holders are silent", func() {
 		begin("first")
 		behind := func() bool { return f.View().Behind(time.Now()) }
 		f.Heard(8)
@@ -159,22 +158,22 @@
 		}
 		Consistently(tooSoon).WithTimeout(1200 * time.Millisecond).Should(BeFalse())
 		Eventually(func() bool { f.Heard(8); return behind() }).Should(BeTrue())
-		By("serving on when nobody tells of the newer one any longer")
+		By("serving again when nobody announces the newer one")
 		Eventually(behind).Should(BeFalse())
-		By("refusing again when it is told of it again, and serving by the newer one when it has come")
+		By("refusing when it is announced again, and serving once it has arrived")
 		Eventually(func() bool { f.Heard(8); return behind() }).Should(BeTrue())
 		newer()
 		Eventually(version).Should(Equal(uint64(7)))
 		Expect(behind()).To(BeFalse())
 	})
 
-	It("gives a document to a few peers at a time, in pieces that make it whole", func() {
+	It("serves a document in pieces to a few peers at a time", func() {
 		begin()
 		noise := make([]byte, 100<<10)
 		_, err := rand.Read(noise)
 		Expect(err).NotTo(HaveOccurred())
 		large := discovery.Document{Revision: 8, Data: append([]byte(`{"Version":7,"Limits":{},"Noise":"`), []byte(hex.EncodeToString(noise)+`"}`)...)}
-		store.set(func(s *source) { s.out, s.state = false, held{Revision: 9, Document: large} })
+		store.set(func(s *fakeSource) { s.unavailable, s.state = false, sourceState{Revision: 9, Document: large} })
 		Eventually(version).Should(Equal(uint64(7)))
 		ask := func(asker, digest string, offset int) discovery.Piece {
 			p, err := f.Piece(discovery.PieceSelect{Asker: asker, NewerThan: 4, Digest: digest, Offset: offset})
@@ -195,28 +194,27 @@
 		digest, packed := discovery.Pack(large)
 		Expect(first.Digest).To(Equal(digest))
 		Expect(data).To(Equal(packed))
-		By("serving the next one when one is done, and beginning anew for one that had begun with another document")
+		By("serving the next peer when one has finished, and starting from the beginning for one with a part of another document")
 		Expect(ask("d", "of another", 64).Offset).To(BeZero())
 		Expect(f.Piece(discovery.PieceSelect{Asker: "e", NewerThan: 8})).To(HaveField("Size", 0))
 	})
 })
 
-// narrowSource gives documents over a narrow link: an answer with one takes a while, in which
-// bytes come all the time.
-type narrowSource struct {
-	*source
-	takes time.Duration
+// slowLinkSource delays document responses and reports progress meanwhile, as over a slow link.
+type slowLinkSource struct {
+	*fakeSource
+	duration time.Duration
 }
 
-// narrowPause is the time between two lots of bytes.
-const narrowPause = 50 * time.Millisecond
+// progressInterval is the interval between two progress reports.
+const progressInterval = 50 * time.Millisecond
 
-func (s narrowSource) WatchDocument(ctx context.Context, since uint64, wait time.Duration, progress discovery.Progress) (discovery.Newest, error) {
-	newest, err := s.source.WatchDocument(ctx, since, wait, progress)
+func (s slowLinkSource) WatchDocument(ctx context.Context, since uint64, wait time.Duration, progress discovery.Progress) (discovery.Newest, error) {
+	newest, err := s.fakeSource.WatchDocument(ctx, since, wait, progress)
 	if err != nil || newest.Document.Revision == 0 {
 		return newest, err
 	}
-	for begin := time.Now(); time.Since(begin) < s.takes; time.Sleep(narrowPause) {
+	for begin := time.Now(); time.Since(begin) < s.duration; time.Sleep(progressInterval) {
 		if ctx.Err() != nil {
 			return discovery.Newest{}, ctx.Err()
 		}
@@ -225,13 +223,13 @@
 	return newest, nil
 }
 
-var _ = Describe("a relay behind a narrow link", func() {
-	// A document of 1 MB is 1.4 MB on the wire, 1.1 s at 10 Mbit/s; this one is larger.
+var _ = Describe("a relay behind a slow link", func() {
+	// Longer than a document of 1 MB takes at 10 Mbit/s.
 	const transfer = 2500 * time.Millisecond
 
-	It("gets a large document, and tells of endpoints meanwhile", func() {
-		store := &source{state: state(5, 4, 3, "a")}
-		f := discovery.New(narrowSource{store, transfer}, peersOf{&source{out: true}}, clockwork.NewRealClock(), logging.Discard().For("discovery"))
+	It("receives a large document and relays endpoint changes meanwhile", func() {
+		store := &fakeSource{state: state(5, 4, 3, "a")}
+		f := discovery.New(slowLinkSource{store, transfer}, fakePeers{&fakeSource{unavailable: true}}, clockwork.NewRealClock(), logging.Discard().For("discovery"))
 		var t tomb.Tomb
 		t.Go(func() error { return f.Run(&t) })
 		DeferCleanup(func() {
@@ -243,7 +241,7 @@
 		}
 		document := func() uint64 { return relay(5).Mark.Revision }
 		Eventually(document).Should(Equal(uint64(4)))
-		store.set(func(s *source) { s.state = state(9, 8, 7, "a", "b") })
+		store.set(func(s *fakeSource) { s.state = state(9, 8, 7, "a", "b") })
 		Eventually(func() uint64 { return relay(5).Changes.Revision }).Should(Equal(uint64(9)))
 		Expect(document()).To(Equal(uint64(4)))
 		Eventually(document).Should(Equal(uint64(8)))
--- a/pkg/discovery/view.go
+++ b/pkg/discovery/view.go
@@ -8,59 +8,59 @@
 )
 
 const (
-	// behindGrace is how long an instance serves on by its configuration after it has heard
-	// that there is a newer one. Versions must be in force two seconds after they were
-	// accepted on the strictest deployment; a document of a megabyte is 0.1 MB packed, and takes
-	// a tenth of a second on a link of 10 Mbit/s.
+	// behindGrace is how long an instance keeps serving with its configuration after it has learned
+	// of a newer one. Versions have to be in force two seconds after they were accepted.
 	behindGrace = time.Second
-	// toldFor is how long word of a newer configuration counts after it was last told: when
-	// all who have it have fallen silent, this instance is cut off and serves on. Heartbeats
-	// come each second.
-	toldFor = 3 * time.Second
-	// never is the age of what was never confirmed.
+	// announcementTTL is how long the announcement of a newer configuration is valid. Once all
+	// instances that have it are silent, this instance is partitioned and keeps serving. It exceeds
+	// the heartbeat interval of one second.
+	announcementTTL = 3 * time.Second
+	// never is the age of data that was never confirmed.
 	never = time.Duration(1 << 62)
 )
 
-// View is what an instance knows. It is immutable.
+// View is the state known to an instance. It is immutable.
 type View struct {
 	// Table is nil until a configuration is known.
 	Table    *route.Table
 	Document Document
 	// DocumentAt is the revision of the source as of which Document was the newest, and
-	// DocumentConfirmed when that was confirmed, by the steady clock.
+	// DocumentConfirmed when that was confirmed, on the monotonic clock.
 	DocumentAt        uint64
 	DocumentConfirmed time.Time
-	// Fleet has the endpoints that may be alive: those listed, and for a while after an
-	// outage of the source those whose entries have lapsed.
+	// Fleet contains the endpoints that may be alive: the listed ones and, for a grace period after
+	// an outage of the source, those whose entries expired.
 	Fleet *fleet.Snapshot
-	// listed has the endpoints that the source listed.
+	// listed contains the endpoints listed by the source.
 	listed *fleet.Snapshot
-	// Confirmed is when the source last confirmed the endpoints, by the steady clock; the
-	// zero time if never. It is never too late: an answer with changes may have been held up,
-	// and counts as of the beginning of its watch.
+	// Confirmed is when the source last confirmed the endpoints, on the monotonic clock, or the
+	// zero time. It is a lower bound: a response with changes may have been delayed and counts from
+	// the start of its watch.
 	Confirmed time.Time
-	// heard is when the source was last heard, directly or through others. While it is heard it
-	// is not out, though what it confirmed may be older.
-	heard time.Time
-	// rumour is what others told of newer documents.
-	rumour rumour
-	// refused is the revision of the newest document that does not compile here.
-	refused uint64
+	// lastHeard is when the source was last heard from, directly or through other instances. While
+	// it is recent the source is reachable, although Confirmed may be older.
+	lastHeard time.Time
+	// announced describes newer documents announced by other instances.
+	announced announcement
+	// rejected is the revision of the newest document that could not be put in force.
+	rejected uint64
 }
 
-// rumour is word of a document that is newer than the one in force.
-type rumour struct {
-	// newest is the revision of the newest document heard of, first heard at newestAt.
+// announcement describes documents that are newer than the one in force.
+type announcement struct {
+	// newest is the highest announced revision, first announced at newestAt.
 	newest   uint64
 	newestAt time.Time
-	// since is when this instance first heard of one that it still lacks; told is when one who
-	// has such a document last said so. What others have only heard of does not count there.
-	since time.Time
-	told  time.Time
+	// lackingSince is when this instance first learned of a document that it still lacks.
+	// lastHolder is when an instance that has such a document last announced it; instances that
+	// only know of it do not count.
+	lackingSince time.Time
+	lastHolderAt time.Time
 }
 
-// change changes the endpoints that are listed and those that are used alike; they stay one snapshot if they were.
-func (v *View) change(do func(*fleet.Snapshot) *fleet.Snapshot) {
+// updateSnapshots applies a change to the listed and to the effective endpoints. The two keep
+// sharing one snapshot if they did.
+func (v *View) updateSnapshots(do func(*fleet.Snapshot) *fleet.Snapshot) {
 	same := v.Fleet == v.listed
 	v.listed = do(v.listed)
 	if same {
@@ -70,29 +70,26 @@
 	v.Fleet = do(v.Fleet)
 }
 
-// Evacuations are the failure domains whose endpoints get no new work. They are at least as new as
-// what is known of documents.
+// Evacuations returns the evacuated failure domains. They are at least as recent as the document.
 func (v *View) Evacuations() fleet.Evacuations { return v.listed.Evacuations() }
 
-// Rollouts are the orders to move traffic between versions, as new as evacuations are.
+// Rollouts returns the rollout orders, which are as recent as the evacuations.
 func (v *View) Rollouts() fleet.Rollouts { return v.listed.Rollouts() }
 
-// Complete tells whether requests can be served: by a configuration, and knowing which failure
-// domains are evacuated and which versions are not to be trusted yet.
-func (v *View) Complete() bool { return v.Table != nil && v.knownOrders() > 0 }
+// Complete reports whether requests can be served: the configuration, the evacuations and the
+// rollouts are known.
+func (v *View) Complete() bool { return v.Table != nil && v.ordersRevision() > 0 }
 
-// knownOrders is the revision of the source up to which this instance knows all evacuations and
-// rollouts.
-func (v *View) knownOrders() uint64 { return min(v.Evacuations().Revision, v.Rollouts().Revision) }
+// ordersRevision returns the revision of the source up to which all orders are known.
+func (v *View) ordersRevision() uint64 { return min(v.Evacuations().Revision, v.Rollouts().Revision) }
 
-// ordersAt is the revision of the source up to which this instance knows all documents and all
-// orders.
-func (v *View) ordersAt() uint64 { return min(v.DocumentAt, v.knownOrders()) }
+// watchRevision returns the revision of the source up to which all documents and orders are known.
+func (v *View) watchRevision() uint64 { return min(v.DocumentAt, v.ordersRevision()) }
 
-// Age is how long ago the source confirmed that the configuration is the newest.
+// Age returns the time since the source confirmed that the configuration is the newest.
 func (v *View) Age(now time.Time) time.Duration { return since(v.DocumentConfirmed, now) }
 
-// FleetAge is how long ago the source confirmed the endpoints.
+// FleetAge returns the time since the source confirmed the endpoints.
 func (v *View) FleetAge(now time.Time) time.Duration { return since(v.Confirmed, now) }
 
 func since(confirmed, now time.Time) time.Duration {
@@ -102,70 +99,70 @@
 	return now.Sub(confirmed)
 }
 
-// Newest is the revision of the newest document that this instance has heard of.
-func (v *View) Newest() uint64 { return max(v.Document.Revision, v.rumour.newest) }
+// Newest returns the highest document revision that this instance knows of.
+func (v *View) Newest() uint64 { return max(v.Document.Revision, v.announced.newest) }
 
-// settled is the revision of the source up to which this instance knows all documents: any
-// newer than its own was refused, or does not exist.
-func (v *View) settled() uint64 { return max(v.Document.Revision, v.DocumentAt, v.refused) }
+// resolvedRevision returns the revision of the source up to which every document is either in
+// force, superseded or rejected.
+func (v *View) resolvedRevision() uint64 { return max(v.Document.Revision, v.DocumentAt, v.rejected) }
 
-// known is the revision up to which word of documents is no news here.
-func (v *View) known() uint64 { return max(v.settled(), v.rumour.newest) }
+// knownRevision returns the revision up to which documents are in force, resolved or announced.
+func (v *View) knownRevision() uint64 { return max(v.resolvedRevision(), v.announced.newest) }
 
-// Lacking tells whether there is a newer document than the one in force, and for how long
-// that has been known.
+// Lacking reports whether a newer document than the one in force is known to exist, and since how
+// long.
 func (v *View) Lacking(now time.Time) (time.Duration, bool) {
-	if v.rumour.newest <= v.settled() {
+	if v.announced.newest <= v.resolvedRevision() {
 		return 0, false
 	}
-	return now.Sub(v.rumour.since), true
+	return now.Sub(v.announced.lackingSince), true
 }
 
-// Behind tells whether requests must not be served by the configuration in force: others
-// have a newer one, and have said so for long enough that it should be here.
+// Behind reports whether requests must be refused because other instances have had a newer
+// configuration for longer than behindGrace.
 func (v *View) Behind(now time.Time) bool {
 	lacking, lacks := v.Lacking(now)
-	return lacks && lacking >= behindGrace && now.Sub(v.rumour.told) < toldFor
+	return lacks && lacking >= behindGrace && now.Sub(v.announced.lastHolderAt) < announcementTTL
 }
 
-// mark is what others are told of the document. Who refused a newer one does not vouch for
-// its own beyond that: others may take it.
-func (v *View) mark(now time.Time) Mark {
+// status returns the document status sent to other instances. After a newer document was rejected,
+// it does not confirm the current one beyond its own revision, since other instances may accept the
+// newer one.
+func (v *View) status(now time.Time) Mark {
 	m := Mark{Revision: v.Document.Revision, At: v.DocumentAt, Age: v.Age(now), Newest: v.Newest(), Evacuations: v.Evacuations(), Rollouts: v.Rollouts()}
-	if v.refused > v.Document.Revision {
+	if v.rejected > v.Document.Revision {
 		m.At = v.Document.Revision
 	}
 	return m
 }
 
-// hear takes in that there is a document of a revision, told by one who has it or has only heard
-// of it, and tells whether none as new was heard of before.
-func (v *View) hear(revision uint64, has bool, now time.Time) bool {
-	if revision <= v.settled() {
+// noteRevision records a document revision reported by an instance that has the document, or only
+// knows of it if has is false. It returns whether the revision is the highest known so far.
+func (v *View) noteRevision(revision uint64, has bool, now time.Time) bool {
+	if revision <= v.resolvedRevision() {
 		return false
 	}
 	if _, lacked := v.Lacking(now); !lacked {
-		v.rumour.since = now
+		v.announced.lackingSince = now
 	}
 	if has {
-		v.rumour.told = now
+		v.announced.lastHolderAt = now
 	}
-	if revision <= v.rumour.newest {
+	if revision <= v.announced.newest {
 		return false
 	}
-	v.rumour.newest, v.rumour.newestAt = revision, now
+	v.announced.newest, v.announced.newestAt = revision, now
 	return true
 }
 
-// caughtUp takes in that a newer document is in force: what is still lacked has been since
-// the newest was heard of.
-func (v *View) caughtUp(now time.Time) {
+// documentActivated resets the start of the lack of a document after a newer one was put in force.
+func (v *View) documentActivated(now time.Time) {
 	if _, lacks := v.Lacking(now); lacks {
-		v.rumour.since = v.rumour.newestAt
+		v.announced.lackingSince = v.announced.newestAt
 	}
 }
 
-// confirmDocument takes in that a mark was true at a time.
+// confirmDocument records that a mark was valid at a time.
 func (v *View) confirmDocument(m Mark, at time.Time) {
 	if m.Revision != v.Document.Revision {
 		return
@@ -176,9 +173,9 @@
 	}
 }
 
-// refuse takes in that the newest document as of a mark can't be put in force: the last good one
-// stays, and was confirmed as that.
-func (v *View) refuse(m Mark, at time.Time) {
-	v.refused = max(v.refused, m.Revision)
+// reject records that the newest document as of a mark cannot be put in force. The current document
+// stays in force and is confirmed.
+func (v *View) reject(m Mark, at time.Time) {
+	v.rejected = max(v.rejected, m.Revision)
 	v.confirmDocument(Mark{Revision: v.Document.Revision, At: m.At}, at)
 }
