--- a/pkg/fleet/change_bench_test.go
+++ b/pkg/fleet/change_bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
 )
 
-// services are those of a large fleet, with the part of the endpoints that each has.
+// services are the services of a large fleet with their share of the endpoints, in percent.
 var services = []struct {
 	name string
 	part int
--- a/pkg/fleet/departures.go
+++ b/pkg/fleet/departures.go
@@ -5,40 +5,39 @@
 	"slices"
 )
 
-// An endpoint that leaves says so in its entry and in its answers. The entry may come late, while the source
-// is silent or the store of it slow, or never; the answers are heard by whoever calls the endpoint. Both are
-// kept apart, so that an entry that is read anew and still calls the endpoint ready takes nothing back: a life
-// that has said that it leaves leaves, also while the source is silent.
+// An endpoint announces its departure in its entry and in its responses. The entry may arrive late
+// or never while the source is unavailable, so departures announced in responses are recorded
+// separately. An entry that still lists the endpoint as ready does not revoke them.
 
-// Departures are the lives, by ID, that have said in answers that they leave.
+// Departures is the set of endpoint IDs that have announced their departure in a response.
 type Departures map[string]bool
 
-// Depart returns the snapshot in which just these lives have said that they leave; itself if that is so. The
-// map must not be changed afterwards.
+// Depart returns the snapshot with the given departures, or s if they are unchanged. The caller
+// must not modify the map afterwards.
 func (s *Snapshot) Depart(departures Departures) *Snapshot {
 	if maps.Equal(s.departures, departures) {
 		return s
 	}
 	after := *s
 	after.departures = departures
-	return after.build()
+	return after.rebuild()
 }
 
-// Departures is how many lives have said in answers that they leave.
+// Departures returns the number of endpoints that have announced their departure in a response.
 func (s *Snapshot) Departures() int { return len(s.departures) }
 
-// Departing tells whether a life has said in an answer that it leaves.
+// Departing reports whether an endpoint has announced its departure in a response.
 func (s *Snapshot) Departing(id string) bool { return s.departures[id] }
 
-// Departed returns the lives that have said in answers that they leave, sorted.
+// Departed returns the sorted IDs of the endpoints that have announced their departure in a
+// response.
 func (s *Snapshot) Departed() []string { return slices.Sorted(maps.Keys(s.departures)) }
 
-// Undeclared returns the lives that have said in answers that they leave, and that the source lists as if
-// they did not.
+// Undeclared returns the IDs of departing endpoints that the source does not list as leaving yet.
 func (s *Snapshot) Undeclared() []string {
 	var undeclared []string
 	for id := range s.departures {
-		name, _ := s.names.get(id)
+		name, _ := s.namesByID.get(id)
 		if e, listed := s.endpoints.get(name); listed && !e.Leaving {
 			undeclared = append(undeclared, id)
 		}
@@ -46,8 +45,9 @@
 	return undeclared
 }
 
-// marked returns the endpoint of an entry as it is known: leaving too if it said so in an answer.
-func (s *Snapshot) marked(e Endpoint) Endpoint {
+// withDeparture returns the endpoint with Leaving set if it has announced its departure in a
+// response.
+func (s *Snapshot) withDeparture(e Endpoint) Endpoint {
 	e.Leaving = e.Leaving || s.departures[e.ID]
 	return e
 }
--- a/pkg/fleet/departures_test.go
+++ b/pkg/fleet/departures_test.go
@@ -13,8 +13,8 @@
 var _ = Describe("endpoints that said in answers that they leave", func() {
 	var s *fleet.Snapshot
 
-	endpoint := func(name, born string) fleet.Endpoint {
-		return fleet.Endpoint{ID: name + "@" + born, Entry: name, Service: "s"}
+	endpoint := func(name, incarnation string) fleet.Endpoint {
+		return fleet.Endpoint{ID: name + "@" + incarnation, Entry: name, Service: "s"}
 	}
 	ready := func() []string {
 		var ids []string
@@ -28,7 +28,7 @@
 		s = fleet.New(1, []fleet.Endpoint{endpoint("a", "1"), endpoint("b", "1")}).Depart(fleet.Departures{"a@1": true})
 	})
 
-	It("get no new work, and are known as leaving", func() {
+	It("get no new work, and are reported as leaving", func() {
 		Expect(ready()).To(HaveExactElements("b@1"))
 		Expect(s.MayGetWork("a@1")).To(BeFalse())
 		known, ok := s.Endpoint("a@1")
@@ -37,7 +37,7 @@
 		Expect(s.All()).To(ContainElement(SatisfyAll(HaveField("ID", "a@1"), HaveField("Leaving", true))))
 	})
 
-	It("stay so whatever their entries say later", func() {
+	It("remain departing whatever their entries say later", func() {
 		changed := endpoint("a", "1")
 		changed.Slots = 9
 		s = s.With(2, []fleet.Change{{Endpoint: changed}})
@@ -46,7 +46,7 @@
 		Expect(ready()).To(HaveExactElements("b@1"))
 		s = s.With(4, []fleet.Change{{Endpoint: endpoint("a", "1"), Gone: true}})
 		s = s.With(5, []fleet.Change{{Endpoint: endpoint("a", "1")}})
-		Expect(ready()).To(HaveExactElements("b@1"), "the entry lapsed and came back")
+		Expect(ready()).To(HaveExactElements("b@1"), "the entry expired and was registered again")
 	})
 
 	It("are not those that start again under the same name", func() {
@@ -54,7 +54,7 @@
 		Expect(ready()).To(HaveExactElements("a@2", "b@1"))
 	})
 
-	It("get no new work in whatever order entries and answers are learnt", func() {
+	It("get no new work, in whatever order entries and responses arrive", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			all := fleet.New(1, nil)
 			said := fleet.Departures{}
@@ -83,7 +83,7 @@
 					}
 					for id := range said {
 						if known, ok := all.Endpoint(id); ok && !known.Leaving || all.MayGetWork(id) {
-							t.Fatalf("%s is not known as leaving", id)
+							t.Fatalf("%s is not reported as leaving", id)
 						}
 					}
 				},
@@ -91,7 +91,7 @@
 		})
 	})
 
-	It("are told to others until the source says so", func() {
+	It("are reported to other instances until the source lists them as leaving", func() {
 		Expect(s.Undeclared()).To(HaveExactElements("a@1"))
 		leaving := endpoint("a", "1")
 		leaving.Leaving = true
--- a/pkg/fleet/editing_test.go
+++ b/pkg/fleet/editing_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = Describe("a snapshot of which a few endpoints change", func() {
-	It("is as one that is made of all its entries at once, in whatever order changes come", func() {
+	It("equals one built from all entries at once, in whatever order changes arrive", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			s := fleet.New(1, nil)
 			entries := map[string]fleet.Endpoint{}
@@ -71,14 +71,14 @@
 				"": func(t *rapid.T) {
 					whole := s.Replace(s.Revision, slices.Collect(maps.Values(entries)))
 					if now, want := describe(s), describe(whole); now != want {
-						t.Fatalf("changed: %s\nmade at once: %s", now, want)
+						t.Fatalf("edited: %s\nbuilt at once: %s", now, want)
 					}
 				},
 			})
 		})
 	})
 
-	It("keeps the lists of the services that have not changed, so that what is made of them holds", func() {
+	It("reuses the lists of the services that have not changed", func() {
 		s := fleet.New(1, []fleet.Endpoint{{ID: "a", Service: "s"}, {ID: "b", Service: "t"}})
 		before := s.Ready("t")
 		s = s.With(2, []fleet.Change{{Endpoint: fleet.Endpoint{ID: "c", Service: "s"}}})
@@ -86,7 +86,7 @@
 		Expect(s.Ready("s")).To(HaveLen(2))
 	})
 
-	It("takes not many more allocations at ten times as many endpoints", func() {
+	It("does not allocate in proportion to the number of endpoints", func() {
 		allocated := func(n int) float64 {
 			s := fleet.New(1, manyEndpoints(n))
 			e := manyEndpoints(n)[n*3/4]
@@ -101,7 +101,7 @@
 	})
 })
 
-// describe is all that a snapshot tells of endpoints, in words.
+// describe formats everything that a snapshot reports about its endpoints.
 func describe(s *fleet.Snapshot) string {
 	var b strings.Builder
 	for _, service := range []string{"s", "t"} {
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -1,6 +1,5 @@
-// Package fleet holds what is known of the endpoints: an immutable snapshot, with the
-// revision of the source that it stands for, the failure domains that are evacuated, and the
-// versions to which traffic is moved.
+// Package fleet holds the state of the endpoints in an immutable snapshot: the entries as of a
+// revision of the source, the evacuated failure domains and the rollouts between versions.
 package fleet
 
 import (
@@ -9,36 +8,36 @@
 	"slices"
 )
 
-// Endpoint is one process that does a service's work.
+// Endpoint is a process that provides a service.
 type Endpoint struct {
-	// ID names one life of the endpoint: each start has another one, so that nothing that is known by an
-	// ID (connections, kept parts, failures, results) is taken for a later life's.
+	// ID identifies one incarnation of the endpoint. It differs after each restart, so that
+	// connections, results and failures recorded under it do not apply to a later incarnation.
 	ID string `json:"id"`
-	// Entry is the name under which the source lists it, where an endpoint may start again under the
-	// name that it had; empty: the ID.
+	// Entry is the name under which the source lists the endpoint, which remains the same after a
+	// restart. If empty, it equals ID.
 	Entry   string `json:"entry,omitempty"`
 	Service string `json:"service"`
 	// Address is IP:port.
-	Address string `json:"address"`
-	// FailureDomain that it stands in.
+	Address       string `json:"address"`
 	FailureDomain string `json:"failure_domain"`
-	// Version is that of its software; empty if it was not told.
+	// Version is the software version, or empty if unknown.
 	Version string `json:"version,omitempty"`
 	Slots   int    `json:"slots"`
-	// Leaving endpoints get no new work. Their entry says so, or they themselves in an answer.
+	// Leaving endpoints get no new work. It is set by the entry or by a response of the endpoint.
 	Leaving bool `json:"leaving"`
-	// ColdMs is how much longer it bears little work, in milliseconds, as of when its entry was
-	// written; 0: it is warm.
+	// ColdMs is the remaining warm-up time in milliseconds as of when the entry was written, during
+	// which the endpoint can only take little load. 0 means warm.
 	ColdMs int64 `json:"cold_ms,omitempty"`
-	// ColdRevision is that of the entry which says so, 0 while it is warm: it may say the same once
-	// more when the endpoint has turned cold again.
+	// ColdRevision is the revision of the entry that set ColdMs, or 0 if the endpoint is warm. It
+	// distinguishes a later warm-up with the same ColdMs.
 	ColdRevision uint64 `json:"cold_revision,omitempty"`
-	// Returned is the revision as of which its failure domain was last known to be no longer
-	// evacuated; 0 if it was not evacuated in this process's life. It is set in Ready alone.
+	// Returned is the revision as of which the evacuation of the failure domain was last known to
+	// have ended, or 0 if it was never evacuated during the lifetime of this process. It is only
+	// set by Ready.
 	Returned uint64 `json:"-"`
 }
 
-// Name is what the source and the endpoint itself call it.
+// Name returns the name that the source and the endpoint itself use.
 func (e Endpoint) Name() string {
 	if e.Entry != "" {
 		return e.Entry
@@ -49,106 +48,108 @@
 // Snapshot is the set of endpoints as of a revision. It is immutable.
 type Snapshot struct {
 	Revision uint64
-	// endpoints are by name, so that a later life takes the place of the one before; names are by ID.
-	endpoints table[Endpoint]
-	names     table[string]
-	// staying are, by service, the endpoints that neither leave nor stand in a failure domain that is evacuated,
-	// and ready those of them that may get new work; both sorted by ID. A service of which nothing has changed
-	// keeps its lists.
-	staying map[string][]Endpoint
-	ready   map[string][]Endpoint
-	// evacuations are the failure domains whose endpoints get no new work, and returned has, by
-	// failure domain, when others were known to have returned.
+	// endpoints is keyed by name, so that a new incarnation replaces the previous one. namesByID
+	// maps IDs to names.
+	endpoints cowMap[Endpoint]
+	namesByID cowMap[string]
+	// available contains the endpoints by service that are neither leaving nor in an evacuated
+	// failure domain. ready contains those of them that may get new work. Both are sorted by ID,
+	// and lists of unchanged services are reused.
+	available map[string][]Endpoint
+	ready     map[string][]Endpoint
+	// evacuations contains the evacuated failure domains. returnedAt maps failure domains to the
+	// revision as of which their last evacuation ended.
 	evacuations Evacuations
-	returned    map[string]uint64
-	// departures are the lives that said in answers that they leave.
+	returnedAt  map[string]uint64
+	// departures contains the endpoints that have announced their departure in a response.
 	departures Departures
-	// rollouts are the orders to move traffic between versions, and standings how they stand.
+	// rollouts contains the orders to move traffic between versions, and standings their state.
 	rollouts  Rollouts
 	standings Standings
-	versions  versions
-	withdrawn withdrawn
-	// trials are by service, and so are the IDs of endpoints that get nothing for their version's sake.
+	versions  versionRevisions
+	withdrawn withdrawnVersions
+	// trials contains the trials by service. barred contains the IDs of endpoints by service that
+	// get no work because of their version.
 	trials map[string]Trial
 	barred map[string]map[string]bool
 }
 
-// Change is one endpoint's entry as it is now, or its end.
+// Change is the current entry of an endpoint, or its removal.
 type Change struct {
 	Endpoint Endpoint `json:"endpoint"`
-	// Gone says that the entry with the endpoint's name has been removed, whichever life it was of.
+	// Gone is set if the entry was removed, for any incarnation.
 	Gone bool `json:"gone,omitempty"`
-	// Refused says why the entry names no endpoint to use, where it is there and can't be read; the
-	// endpoint is gone then.
+	// Refused is the reason why the entry is invalid. The endpoint is then removed.
 	Refused string `json:"refused,omitempty"`
 }
 
-// New returns the snapshot with the endpoints given, and no evacuations.
+// New returns a snapshot with the given endpoints and no evacuations.
 func New(revision uint64, endpoints []Endpoint) *Snapshot {
 	return (&Snapshot{}).Replace(revision, endpoints)
 }
 
-// Replace returns the snapshot with other endpoints, as of a revision, and the same evacuations.
+// Replace returns the snapshot with all endpoints replaced as of a revision. It keeps the
+// evacuations, departures and rollouts.
 func (s *Snapshot) Replace(revision uint64, endpoints []Endpoint) *Snapshot {
 	replaced := *s
-	all, names := table[Endpoint]{}.edit(), table[string]{}.edit()
+	all, names := cowMap[Endpoint]{}.edit(), cowMap[string]{}.edit()
 	for _, e := range endpoints {
 		all.set(e.Name(), e)
 		names.set(e.ID, e.Name())
 		replaced.versions = replaced.versions.with(revision, e)
 	}
-	replaced.Revision, replaced.endpoints, replaced.names = revision, all.table(), names.table()
-	return replaced.build()
+	replaced.Revision, replaced.endpoints, replaced.namesByID = revision, all.freeze(), names.freeze()
+	return replaced.rebuild()
 }
 
-// build sorts out anew which endpoints stay, and of these which may get new work.
-func (s *Snapshot) build() *Snapshot {
-	s.staying = map[string][]Endpoint{}
-	s.endpoints.each(func(_ string, e Endpoint) {
-		if e = s.marked(e); s.stays(e) {
-			e.Returned = s.returned[e.FailureDomain]
-			s.staying[e.Service] = append(s.staying[e.Service], e)
+// rebuild recomputes which endpoints are available and which of them may get new work.
+func (s *Snapshot) rebuild() *Snapshot {
+	s.available = map[string][]Endpoint{}
+	s.endpoints.forEach(func(_ string, e Endpoint) {
+		if e = s.withDeparture(e); s.isAvailable(e) {
+			e.Returned = s.returnedAt[e.FailureDomain]
+			s.available[e.Service] = append(s.available[e.Service], e)
 		}
 	})
-	for _, list := range s.staying {
+	for _, list := range s.available {
 		slices.SortFunc(list, byID)
 	}
-	return s.admitAll()
+	return s.classifyAll()
 }
 
-// admitAll sorts out anew which of the endpoints that stay may get new work.
-func (s *Snapshot) admitAll() *Snapshot {
+// classifyAll recomputes which of the available endpoints may get new work.
+func (s *Snapshot) classifyAll() *Snapshot {
 	s.ready, s.trials, s.barred = map[string][]Endpoint{}, map[string]Trial{}, map[string]map[string]bool{}
-	for service, list := range s.staying {
-		s.admit(service, list)
+	for service, list := range s.available {
+		s.classify(service, list)
 	}
 	return s
 }
 
 func byID(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) }
 
-// stays tells whether an endpoint neither leaves nor stands in a failure domain that is evacuated.
-func (s *Snapshot) stays(e Endpoint) bool {
+// isAvailable reports whether an endpoint is neither leaving nor in an evacuated failure domain.
+func (s *Snapshot) isAvailable(e Endpoint) bool {
 	return !e.Leaving && !s.evacuations.Has(e.FailureDomain)
 }
 
-// With returns the snapshot after changes, as of a revision; the same endpoints if
-// none of the changes matters.
+// With returns the snapshot with changes applied as of a revision. It shares the endpoints if no
+// change has an effect.
 func (s *Snapshot) With(revision uint64, changes []Change) *Snapshot {
 	after := *s
 	after.Revision = revision
-	if !s.differs(changes) {
+	if !s.changedBy(changes) {
 		return &after
 	}
-	e := newEditing(&after)
+	e := newSnapshotEdit(&after)
 	for _, c := range changes {
 		e.apply(c)
 	}
-	e.done()
+	e.finish()
 	return &after
 }
 
-func (s *Snapshot) differs(changes []Change) bool {
+func (s *Snapshot) changedBy(changes []Change) bool {
 	for _, c := range changes {
 		known, ok := s.endpoints.get(c.Endpoint.Name())
 		if c.Gone && ok || !c.Gone && (!ok || known != c.Endpoint) {
@@ -158,8 +159,7 @@
 	return false
 }
 
-// Evacuate returns the snapshot with the failure domains of the evacuations left out; itself if
-// it knows newer ones.
+// Evacuate returns the snapshot with the given evacuations, or s if it has newer ones.
 func (s *Snapshot) Evacuate(e Evacuations) *Snapshot {
 	if e.Revision <= s.evacuations.Revision {
 		return s
@@ -170,55 +170,55 @@
 		return &after
 	}
 	_, returned := e.Changed(s.evacuations)
-	after.returned = make(map[string]uint64, len(s.returned)+len(returned))
-	maps.Copy(after.returned, s.returned)
+	after.returnedAt = make(map[string]uint64, len(s.returnedAt)+len(returned))
+	maps.Copy(after.returnedAt, s.returnedAt)
 	for _, domain := range returned {
-		after.returned[domain] = e.Revision
+		after.returnedAt[domain] = e.Revision
 	}
-	return after.build()
+	return after.rebuild()
 }
 
-// Evacuations are the failure domains that are left out, as of a revision.
+// Evacuations returns the evacuated failure domains.
 func (s *Snapshot) Evacuations() Evacuations { return s.evacuations }
 
-// Ready returns the endpoints of a service that may get new work, sorted by ID. The
-// slice must not be changed.
+// Ready returns the endpoints of a service that may get new work, sorted by ID. The caller must not
+// modify the slice.
 func (s *Snapshot) Ready(service string) []Endpoint { return s.ready[service] }
 
-// Endpoint returns an endpoint by ID: false if that life is over.
+// Endpoint returns the endpoint with an ID, or false if that incarnation is gone.
 func (s *Snapshot) Endpoint(id string) (Endpoint, bool) {
-	name, ok := s.names.get(id)
+	name, ok := s.namesByID.get(id)
 	e, _ := s.endpoints.get(name)
-	return s.marked(e), ok
+	return s.withDeparture(e), ok
 }
 
-// Lists tells whether the source lists any life of an endpoint.
+// Lists reports whether the source lists an endpoint under a name, in any incarnation.
 func (s *Snapshot) Lists(name string) bool {
 	_, ok := s.endpoints.get(name)
 	return ok
 }
 
-// MayGetWork tells whether an endpoint is known, not leaving, not in an evacuated failure domain, and of
-// a version that may get work.
+// MayGetWork reports whether an endpoint may get new work: it is known, not leaving, not in an
+// evacuated failure domain and not barred because of its version.
 func (s *Snapshot) MayGetWork(id string) bool {
 	e, ok := s.Endpoint(id)
-	return ok && s.stays(e) && !s.barred[e.Service][id]
+	return ok && s.isAvailable(e) && !s.barred[e.Service][id]
 }
 
-// Any tells whether there are endpoints.
+// Any reports whether the snapshot contains any endpoints.
 func (s *Snapshot) Any() bool { return s.endpoints.size > 0 }
 
-// All returns all endpoints, in no order.
+// All returns all endpoints in unspecified order.
 func (s *Snapshot) All() []Endpoint {
 	list := make([]Endpoint, 0, s.endpoints.size)
-	s.endpoints.each(func(_ string, e Endpoint) { list = append(list, s.marked(e)) })
+	s.endpoints.forEach(func(_ string, e Endpoint) { list = append(list, s.withDeparture(e)) })
 	return list
 }
 
-// In returns how many endpoints stand in a failure domain.
+// In returns the number of endpoints in a failure domain.
 func (s *Snapshot) In(domain string) int {
 	n := 0
-	s.endpoints.each(func(_ string, e Endpoint) {
+	s.endpoints.forEach(func(_ string, e Endpoint) {
 		if e.FailureDomain == domain {
 			n++
 		}
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -19,7 +19,7 @@
 func restore(domain string) fleet.Evacuation { return fleet.Evacuation{Domain: domain, Ended: true} }
 
 var _ = Describe("evacuations", func() {
-	DescribeTable("are what is left after orders",
+	DescribeTable("are the result of orders applied in sequence",
 		func(orders []fleet.Evacuation, domains ...string) {
 			e := fleet.Evacuations{}.With(7, orders)
 			Expect(e.Known()).To(BeTrue())
@@ -30,13 +30,13 @@
 		Entry("one", []fleet.Evacuation{evacuate("a")}, "a"),
 		Entry("several, in any order", []fleet.Evacuation{evacuate("c"), evacuate("a"), evacuate("b")}, "a", "b", "c"),
 		Entry("the same twice", []fleet.Evacuation{evacuate("a"), evacuate("a")}, "a"),
-		Entry("given and taken back", []fleet.Evacuation{evacuate("a"), evacuate("b"), restore("a")}, "b"),
-		Entry("taken back and given again", []fleet.Evacuation{evacuate("a"), restore("a"), evacuate("a")}, "a"),
-		Entry("taken back that was not given", []fleet.Evacuation{restore("a")}),
-		Entry("one that names nothing", []fleet.Evacuation{evacuate(""), restore("")}),
+		Entry("given and withdrawn", []fleet.Evacuation{evacuate("a"), evacuate("b"), restore("a")}, "b"),
+		Entry("withdrawn and given again", []fleet.Evacuation{evacuate("a"), restore("a"), evacuate("a")}, "a"),
+		Entry("withdrawn but never given", []fleet.Evacuation{restore("a")}),
+		Entry("one without a failure domain", []fleet.Evacuation{evacuate(""), restore("")}),
 	)
 
-	It("do not change a record from which others are made", func() {
+	It("do not change the record that others are derived from", func() {
 		before := fleet.Evacuations{}.With(1, []fleet.Evacuation{evacuate("a"), evacuate("b")})
 		before.With(2, []fleet.Evacuation{restore("a"), evacuate("c")})
 		Expect(before.Domains).To(HaveExactElements("a", "b"))
@@ -60,21 +60,21 @@
 		return fleet.Evacuations{Revision: revision, Domains: domains}
 	}
 
-	It("leaves the endpoints of evacuated failure domains out, until they return", func() {
+	It("excludes the endpoints of evacuated failure domains until they are restored", func() {
 		s := fleet.New(3, endpoints)
 		Expect(ids(s)).To(HaveExactElements("a1", "b1"))
 		s = s.Evacuate(orders(4, "a"))
 		Expect(ids(s)).To(HaveExactElements("b1"))
 		Expect(s.MayGetWork("a1")).To(BeFalse())
 		_, known := s.Endpoint("a1")
-		Expect(known).To(BeTrue(), "what runs there goes on")
+		Expect(known).To(BeTrue(), "running work is not affected")
 		s = s.Evacuate(orders(5))
 		Expect(ids(s)).To(HaveExactElements("a1", "b1"))
 		Expect(s.Ready("s")[0].Returned).To(Equal(uint64(5)))
 		Expect(s.Ready("s")[1].Returned).To(BeZero())
 	})
 
-	It("keeps evacuations through changes of endpoints, and through readings of all", func() {
+	It("keeps evacuations when endpoints change or are replaced", func() {
 		s := fleet.New(3, endpoints).Evacuate(orders(4, "a"))
 		s = s.With(6, []fleet.Change{{Endpoint: fleet.Endpoint{ID: "a3", Service: "s", FailureDomain: "a"}}})
 		Expect(ids(s)).To(HaveExactElements("b1"))
@@ -83,20 +83,20 @@
 		Expect(s.Evacuations().Domains).To(HaveExactElements("a"))
 	})
 
-	It("takes no older evacuations in", func() {
+	It("ignores older evacuations", func() {
 		s := fleet.New(3, endpoints).Evacuate(orders(6, "a"))
 		Expect(ids(s.Evacuate(orders(5)))).To(HaveExactElements("b1"))
 		Expect(ids(s.Evacuate(orders(6)))).To(HaveExactElements("b1"))
 		Expect(ids(s.Evacuate(orders(7)))).To(HaveExactElements("a1", "b1"))
 	})
 
-	It("has no endpoint left when all failure domains are evacuated, and one of an unknown name changes nothing", func() {
+	It("has no ready endpoint when all failure domains are evacuated, and ignores an unknown failure domain", func() {
 		s := fleet.New(3, endpoints)
 		Expect(ids(s.Evacuate(orders(4, "a", "b")))).To(BeEmpty())
 		Expect(ids(s.Evacuate(orders(4, "z")))).To(HaveExactElements("a1", "b1"))
 	})
 
-	It("has the same endpoints after news that change none", func() {
+	It("shares the endpoints after an update without changes", func() {
 		s := fleet.New(3, endpoints).Evacuate(orders(4, "a"))
 		Expect(&s.Evacuate(orders(5, "a")).Ready("s")[0]).To(BeIdenticalTo(&s.Ready("s")[0]))
 	})
@@ -108,7 +108,7 @@
 	other := fleet.Endpoint{ID: "f", Service: "s", FailureDomain: "a"}
 	before := fleet.New(1, []fleet.Endpoint{first, other})
 
-	It("takes the place of its former life", func() {
+	It("replaces its previous incarnation", func() {
 		s := before.With(2, []fleet.Change{{Endpoint: second}})
 		Expect(s.Ready("s")).To(HaveExactElements(second, other))
 		Expect(s.MayGetWork("e@1")).To(BeFalse())
@@ -118,10 +118,10 @@
 		Expect(known).To(BeTrue())
 		Expect(now).To(Equal(second))
 		Expect(s.Lists("e")).To(BeTrue())
-		Expect(before.MayGetWork("e@1")).To(BeTrue(), "an older snapshot is as it was")
+		Expect(before.MayGetWork("e@1")).To(BeTrue(), "an older snapshot is unchanged")
 	})
 
-	It("goes with its entry, whichever life that was of", func() {
+	It("is removed with its entry, whichever incarnation that was of", func() {
 		s := before.With(2, []fleet.Change{{Endpoint: fleet.Endpoint{ID: "e"}, Gone: true}})
 		Expect(s.Ready("s")).To(HaveExactElements(other))
 		Expect(s.Lists("e")).To(BeFalse())
--- a/pkg/fleet/life.go
+++ b/pkg/fleet/life.go
@@ -5,27 +5,27 @@
 	"strings"
 )
 
-// lifeMark stands in the ID of a life between the endpoint's name and the moment of its start.
-const lifeMark = "@"
+// incarnationSeparator separates the endpoint's name from its start time in an ID.
+const incarnationSeparator = "@"
 
-// Life returns the endpoint as the life of a named one that started at a moment, in Unix milliseconds; 0: it does
-// not say when.
-func (e Endpoint) Life(name string, born int64) Endpoint {
+// Life returns the endpoint with the ID of the incarnation that started at startMs, in Unix
+// milliseconds. If startMs is 0 the start time is unknown, and the ID is the name.
+func (e Endpoint) Life(name string, startMs int64) Endpoint {
 	e.ID, e.Entry = name, ""
-	if born > 0 {
-		e.ID = name + lifeMark + strconv.FormatInt(born, 10)
+	if startMs > 0 {
+		e.ID = name + incarnationSeparator + strconv.FormatInt(startMs, 10)
 	}
-	if strings.Contains(e.ID, lifeMark) {
+	if strings.Contains(e.ID, incarnationSeparator) {
 		e.Entry = name
 	}
 	return e
 }
 
-// Told returns an endpoint as an instance of any build told it. One that knows no lives passes the ID of a life on
-// without the name that belongs to it: a call that named the endpoint by that ID would be answered as one for
-// another. An ID with a mark never comes without its name from a build that knows lives.
+// Told restores the Entry of an endpoint that was received from another instance. Instances without
+// support for incarnations forward the ID but drop the Entry; using that ID as the name would
+// address the wrong endpoint. Instances that support incarnations always send both.
 func Told(e Endpoint) Endpoint {
-	if at := strings.LastIndex(e.ID, lifeMark); e.Entry == "" && at > 0 {
+	if at := strings.LastIndex(e.ID, incarnationSeparator); e.Entry == "" && at > 0 {
 		e.Entry = e.ID[:at]
 	}
 	return e
--- a/pkg/fleet/rollouts.go
+++ b/pkg/fleet/rollouts.go
@@ -9,39 +9,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rollout is an operator's order to move the traffic of a service to the endpoints of a version, which are
-// started beside the others.
+// Rollout is an order to move the traffic of a service to the endpoints of another version.
 type Rollout struct {
 	Service string `json:"service"`
-	// Version is the software version that the traffic is moved to.
+	// Version is the target version.
 	Version string `json:"version"`
-	// OverMs is the time in which that is to be done, in milliseconds.
+	// OverMs is the duration of the rollout in milliseconds.
 	OverMs int64 `json:"over_ms"`
-	// Revision is that of the order. One that is given again, with the same words, is another order.
+	// Revision identifies the order. An identical order that is given again has a new revision.
 	Revision uint64 `json:"revision"`
 }
 
-// RolloutOrder is an order, or its end.
+// RolloutOrder is a rollout, or the end of one.
 type RolloutOrder struct {
 	Rollout
 	Ended bool
-	// Refused says why what was written is no order; it changes nothing then.
+	// Refused is the reason why the order is invalid. It is then ignored.
 	Refused string
 }
 
-// Rollouts are the orders in force, one a service, as of a revision of the source. The record is always told
-// whole: of two, the one of the greater revision holds. The zero value, of revision 0, says that none is known. It
-// is immutable.
+// Rollouts contains the orders in force, at most one per service, as of a revision of the source.
+// It is always sent as a whole, and the one with the higher revision wins. In the zero value, with
+// revision 0, the rollouts are unknown. It is immutable.
 type Rollouts struct {
 	Revision uint64 `json:"revision"`
-	// Orders are sorted by service.
+	// Orders is sorted by service.
 	Orders []Rollout `json:"orders,omitempty"`
 }
 
-// Known tells whether the source's orders are known.
+// Known reports whether the rollouts are known.
 func (r Rollouts) Known() bool { return r.Revision > 0 }
 
-// Of returns the order for a service, if there is one.
+// Of returns the order for a service, if any.
 func (r Rollouts) Of(service string) (Rollout, bool) {
 	at, found := r.find(service)
 	if !found {
@@ -50,10 +49,10 @@
 	return r.Orders[at], true
 }
 
-// Same tells whether the same orders are in force, whatever the revisions.
+// Same reports whether the same orders are in force, regardless of the revisions.
 func (r Rollouts) Same(other Rollouts) bool { return slices.Equal(r.Orders, other.Orders) }
 
-// With returns the orders that hold after some were given, in that order, as of a revision.
+// With returns the rollouts as of a revision after the orders are applied in sequence.
 func (r Rollouts) With(revision uint64, given []RolloutOrder) Rollouts {
 	after := Rollouts{Revision: revision, Orders: r.Orders}
 	for _, order := range given {
@@ -83,23 +82,23 @@
 	return slices.BinarySearchFunc(r.Orders, service, func(o Rollout, name string) int { return cmp.Compare(o.Service, name) })
 }
 
-// Exposure is how much of its service's traffic the version of a rollout gets.
+// Exposure is the amount of its service's traffic that the target version of a rollout gets.
 type Exposure int
 
-// The exposures. What an instance doesn't know of a rollout counts as Withheld: it may have just started, while
-// the others know that the version is bad.
+// Values of Exposure. Withheld is the default for an instance that has just started, since others
+// may already know that the version is bad.
 const (
-	// Withheld: nothing, until more is known.
+	// Withheld means no traffic until the state of the rollout is known.
 	Withheld Exposure = iota
-	// Tried: a share of the requests.
+	// Tried means a share of the requests.
 	Tried
-	// Proven: all.
+	// Proven means all traffic.
 	Proven
-	// Refuted: nothing for as long as the order stands, not even where no other version is left.
+	// Refuted means no traffic while the order is in force, even if no other version is left.
 	Refuted
 )
 
-// String is the exposure in a word.
+// String returns the name of the exposure.
 func (e Exposure) String() string {
 	words := [...]string{"withheld", "tried", "proven", "refuted"}
 	if e < 0 || int(e) >= len(words) {
@@ -108,37 +107,38 @@
 	return words[e]
 }
 
-// Standing is how a rollout stands.
+// Standing is the state of a rollout.
 type Standing struct {
 	Exposure Exposure
-	// Share is the part of the requests that are tried; 0 to 1.
+	// Share is the fraction of the requests that a tried version gets, from 0 to 1.
 	Share float64
 }
 
-// Standings are how rollouts stand, by the revision of their order. The map must not be changed.
+// Standings contains the state of rollouts by the revision of their order. It must not be modified.
 type Standings map[uint64]Standing
 
-// Trial is what a version that is tried gets.
+// Trial describes the traffic of a version that is being tried.
 type Trial struct {
 	// Order is the revision of the order.
 	Order uint64
-	// Share is the part of the requests; 0 to 1.
+	// Share is the fraction of the requests, from 0 to 1.
 	Share float64
-	// Endpoints are those that get them: as many as make the load of each that of the others, since some versions
-	// are bad under load alone. Sorted by ID.
+	// Endpoints contains the endpoints that get these requests, sorted by ID. Their number is
+	// chosen so that each gets the same load as the endpoints of other versions, since some faults
+	// only appear under load.
 	Endpoints []Endpoint
 }
 
-// Takes tells whether a request is of the share: the same at all instances, so that the shares of instances that see
-// few requests each sum up to it, and a request that is sent once more is not drawn once more.
+// Takes reports whether a request belongs to the trial. The result is the same on all instances and
+// for retries, so that the share also holds for instances with few requests.
 func (t Trial) Takes(request string) bool {
 	if len(t.Endpoints) == 0 {
 		return false
 	}
-	return float64(draw(t.Order, request)) < t.Share*math.MaxUint64
+	return float64(hashOrder(t.Order, request)) < t.Share*math.MaxUint64
 }
 
-// draw is a random number that belongs to a text and an order: the same at all instances.
-func draw(order uint64, text string) uint64 {
+// hashOrder returns a hash of a text and an order, which is the same on all instances.
+func hashOrder(order uint64, text string) uint64 {
 	return xxhash.Sum64String(strconv.FormatUint(order, 10) + "/" + text)
 }
--- a/pkg/fleet/table.go
+++ b/pkg/fleet/table.go
@@ -6,19 +6,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// buckets is into how many maps a table is cut. A change copies one of them: 40 entries of 10,000.
+// buckets is the number of buckets of a cowMap. A change copies one of them.
 const buckets = 256
 
-// table is an immutable map by text. Other tables with a few changes share all with it but the buckets that
-// have changed.
-type table[V any] struct {
+// cowMap is an immutable map. An edited copy shares all unchanged buckets with the original.
+type cowMap[V any] struct {
 	buckets *[buckets]map[string]V
 	size    int
 }
 
 func bucketOf(key string) int { return int(xxhash.Sum64String(key) % buckets) }
 
-func (t table[V]) get(key string) (value V, found bool) {
+func (t cowMap[V]) get(key string) (value V, found bool) {
 	if t.buckets == nil {
 		return value, false
 	}
@@ -26,7 +25,7 @@
 	return value, found
 }
 
-func (t table[V]) each(do func(key string, value V)) {
+func (t cowMap[V]) forEach(do func(key string, value V)) {
 	if t.buckets == nil {
 		return
 	}
@@ -37,47 +36,47 @@
 	}
 }
 
-// edit returns an editor that begins with the table's entries.
-func (t table[V]) edit() *editor[V] {
-	e := &editor[V]{buckets: &[buckets]map[string]V{}, size: t.size}
+// edit returns an editor that starts with the entries of the map.
+func (t cowMap[V]) edit() *cowEditor[V] {
+	e := &cowEditor[V]{buckets: &[buckets]map[string]V{}, size: t.size}
 	if t.buckets != nil {
 		*e.buckets = *t.buckets
 	}
 	return e
 }
 
-// editor makes a table with some entries changed. It must not be used after the table was taken.
-type editor[V any] struct {
+// cowEditor builds an edited copy of a cowMap. It must not be used after freeze.
+type cowEditor[V any] struct {
 	buckets *[buckets]map[string]V
-	// own are the buckets that no other table has.
-	own  [buckets]bool
-	size int
+	// owned marks the buckets that are not shared with another map.
+	owned [buckets]bool
+	size  int
 }
 
-// bucket returns the bucket of a key, for this table alone.
-func (e *editor[V]) bucket(key string) map[string]V {
+// bucket returns a bucket that may be modified.
+func (e *cowEditor[V]) bucket(key string) map[string]V {
 	at := bucketOf(key)
-	if !e.own[at] {
+	if !e.owned[at] {
 		copied := make(map[string]V, len(e.buckets[at])+1)
 		maps.Copy(copied, e.buckets[at])
-		e.buckets[at], e.own[at] = copied, true
+		e.buckets[at], e.owned[at] = copied, true
 	}
 	return e.buckets[at]
 }
 
-func (e *editor[V]) get(key string) (V, bool) {
+func (e *cowEditor[V]) get(key string) (V, bool) {
 	value, found := e.buckets[bucketOf(key)][key]
 	return value, found
 }
 
-func (e *editor[V]) set(key string, value V) {
+func (e *cowEditor[V]) set(key string, value V) {
 	bucket := e.bucket(key)
 	before := len(bucket)
 	bucket[key] = value
 	e.size += len(bucket) - before
 }
 
-func (e *editor[V]) remove(key string) {
+func (e *cowEditor[V]) remove(key string) {
 	if _, found := e.get(key); !found {
 		return
 	}
@@ -85,5 +84,5 @@
 	e.size--
 }
 
-// table returns the table with all that was changed.
-func (e *editor[V]) table() table[V] { return table[V]{buckets: e.buckets, size: e.size} }
+// freeze returns the edited map.
+func (e *cowEditor[V]) freeze() cowMap[V] { return cowMap[V]{buckets: e.buckets, size: e.size} }
--- a/pkg/fleet/versions.go
+++ b/pkg/fleet/versions.go
@@ -7,21 +7,22 @@
 	"slices"
 )
 
-// Endpoints of a version that an order concerns get what the order's standing allows. Entries and orders reach an
-// instance on two ways. So an endpoint of a version that turned up later than the orders are known for waits:
-// the order that concerns it may be on its way, and its version bad.
+// Entries and rollout orders reach an instance independently. Endpoints of a version that appeared
+// after the last known orders are therefore withheld: an order that concerns the version may not
+// have arrived yet.
 
-// versions has, by service and version, the revision as of which endpoints of the version were first known.
-type versions map[string]map[string]uint64
+// versionRevisions maps services and versions to the revision as of which the first endpoint of the
+// version was known.
+type versionRevisions map[string]map[string]uint64
 
 // with returns the versions after an endpoint became known as of a revision.
-func (v versions) with(revision uint64, e Endpoint) versions {
+func (v versionRevisions) with(revision uint64, e Endpoint) versionRevisions {
 	if _, known := v[e.Service][e.Version]; known {
 		return v
 	}
 	grown := maps.Clone(v)
 	if grown == nil {
-		grown = versions{}
+		grown = versionRevisions{}
 	}
 	grown[e.Service] = maps.Clone(v[e.Service])
 	if grown[e.Service] == nil {
@@ -31,9 +32,9 @@
 	return grown
 }
 
-// unsure tells whether the version of an endpoint turned up later than the orders are known for, while others of
-// its service did not.
-func (s *Snapshot) unsure(e Endpoint) bool {
+// unverified reports whether the version of an endpoint appeared after the last known orders, while
+// another version of its service did not.
+func (s *Snapshot) unverified(e Endpoint) bool {
 	all := s.versions[e.Service]
 	if all[e.Version] <= s.rollouts.Revision {
 		return false
@@ -46,12 +47,13 @@
 	return false
 }
 
-// withdrawn are the versions, by service, whose orders were taken back or replaced before they were proven.
-type withdrawn map[string]map[string]bool
+// withdrawnVersions contains the versions by service whose orders were withdrawn or replaced before
+// they were proven.
+type withdrawnVersions map[string]map[string]bool
 
-// after returns the versions that are withdrawn when other orders take the place of those that were known.
-func (w withdrawn) after(before, now Rollouts, standings Standings) withdrawn {
-	grown := make(withdrawn, len(w))
+// after returns the withdrawn versions after the orders change from before to now.
+func (w withdrawnVersions) after(before, now Rollouts, standings Standings) withdrawnVersions {
+	grown := make(withdrawnVersions, len(w))
 	for service, all := range w {
 		grown[service] = maps.Clone(all)
 	}
@@ -71,21 +73,21 @@
 	return grown
 }
 
-// Roll returns the snapshot with the orders of rollouts; itself if it knows newer ones.
+// Roll returns the snapshot with the given rollouts, or s if it has newer ones.
 func (s *Snapshot) Roll(r Rollouts) *Snapshot {
 	if r.Revision <= s.rollouts.Revision {
 		return s
 	}
 	after := *s
 	after.rollouts = r
-	if r.Same(s.rollouts) && !s.anyUnsure() {
+	if r.Same(s.rollouts) && !s.anyUnverified() {
 		return &after
 	}
 	after.withdrawn = s.withdrawn.after(s.rollouts, r, s.standings)
-	return after.admitAll()
+	return after.classifyAll()
 }
 
-func (s *Snapshot) anyUnsure() bool {
+func (s *Snapshot) anyUnverified() bool {
 	for _, all := range s.versions {
 		for _, first := range all {
 			if len(all) > 1 && first > s.rollouts.Revision {
@@ -96,26 +98,26 @@
 	return false
 }
 
-// Stand returns the snapshot with how rollouts stand; itself if that is so.
+// Stand returns the snapshot with the given standings, or s if they are unchanged.
 func (s *Snapshot) Stand(standings Standings) *Snapshot {
 	if maps.Equal(s.standings, standings) {
 		return s
 	}
 	after := *s
 	after.standings = standings
-	return after.admitAll()
+	return after.classifyAll()
 }
 
-// Rollouts are the orders in force, as of a revision.
+// Rollouts returns the rollouts in force.
 func (s *Snapshot) Rollouts() Rollouts { return s.rollouts }
 
-// Standing returns how the rollout of an order stands.
+// Standing returns the state of the rollout with the given order revision.
 func (s *Snapshot) Standing(order uint64) Standing { return s.standings[order] }
 
-// Trial returns what a version of a service gets that is tried; no endpoints if none is.
+// Trial returns the trial of a service. It has no endpoints if no version is being tried.
 func (s *Snapshot) Trial(service string) Trial { return s.trials[service] }
 
-// Barred tells whether an endpoint gets nothing for its version's sake.
+// Barred reports whether an endpoint gets no work because of its version.
 func (s *Snapshot) Barred(id string) bool {
 	if len(s.barred) == 0 {
 		return false
@@ -124,10 +126,10 @@
 	return s.barred[e.Service][id]
 }
 
-// Versions counts the endpoints of a service that may get new work but for their version: those of the version
-// of an order, and the others.
+// Versions returns the number of available endpoints of a service that have the version of an
+// order, and the number of those with other versions.
 func (s *Snapshot) Versions(order Rollout) (of, others int) {
-	for _, e := range s.staying[order.Service] {
+	for _, e := range s.available[order.Service] {
 		if e.Version == order.Version {
 			of++
 		} else {
@@ -137,12 +139,12 @@
 	return of, others
 }
 
-// admit sorts out which endpoints of a service, all of which may get new work but for their version, get it. The
-// others are barred but for those on trial.
-func (s *Snapshot) admit(service string, all []Endpoint) {
+// classify determines which of the available endpoints of a service are ready, on trial or barred
+// because of their version.
+func (s *Snapshot) classify(service string, all []Endpoint) {
 	delete(s.trials, service)
 	delete(s.barred, service)
-	s.ready[service] = s.admittedOf(service, all)
+	s.ready[service] = s.eligible(service, all)
 	if len(s.ready[service]) == len(all) {
 		return
 	}
@@ -158,8 +160,8 @@
 	s.barred[service] = barred
 }
 
-func (s *Snapshot) admittedOf(service string, all []Endpoint) []Endpoint {
-	kept := Except(all, func(e Endpoint) bool { return s.withdrawn[service][e.Version] || s.unsure(e) })
+func (s *Snapshot) eligible(service string, all []Endpoint) []Endpoint {
+	kept := Except(all, func(e Endpoint) bool { return s.withdrawn[service][e.Version] || s.unverified(e) })
 	if len(kept) == 0 {
 		kept = all
 	}
@@ -174,27 +176,28 @@
 	case standing.Exposure == Proven && len(target) > 0:
 		return target
 	case standing.Exposure == Tried && len(target) > 0 && len(others) > 0:
-		s.trials[service] = Trial{Order: order.Revision, Share: standing.Share, Endpoints: sample(order, target, standing.Share, len(others))}
+		s.trials[service] = Trial{Order: order.Revision, Share: standing.Share, Endpoints: trialEndpoints(order, target, standing.Share, len(others))}
 	case standing.Exposure == Withheld && len(others) == 0 && s.versions[service][order.Version] < order.Revision:
-		// The version had all of the traffic before the order.
+		// The version already had all traffic before the order.
 		return target
 	}
 	return others
 }
 
-// Except returns a list without the endpoints of which a function is true; the list itself if there is none.
-func Except(list []Endpoint, leaves func(Endpoint) bool) []Endpoint {
-	if !slices.ContainsFunc(list, leaves) {
+// Except returns a list without the endpoints that match a predicate, or the list itself if none
+// match.
+func Except(list []Endpoint, match func(Endpoint) bool) []Endpoint {
+	if !slices.ContainsFunc(list, match) {
 		return list
 	}
-	return slices.DeleteFunc(slices.Clone(list), leaves)
+	return slices.DeleteFunc(slices.Clone(list), match)
 }
 
-// sample returns the endpoints that get a share of the requests which so many others get now: the same at all
-// instances that know the same endpoints.
-func sample(order Rollout, target []Endpoint, share float64, others int) []Endpoint {
+// trialEndpoints returns the endpoints that get a share of the requests. It selects the same ones
+// on all instances that know the same endpoints.
+func trialEndpoints(order Rollout, target []Endpoint, share float64, others int) []Endpoint {
 	n := max(1, int(math.Ceil(share*float64(others))))
-	weight := func(e Endpoint) uint64 { return draw(order.Revision, e.ID) }
+	weight := func(e Endpoint) uint64 { return hashOrder(order.Revision, e.ID) }
 	chosen := slices.Clone(target)
 	slices.SortFunc(chosen, func(a, b Endpoint) int { return cmp.Compare(weight(a), weight(b)) })
 	chosen = chosen[:min(n, len(chosen))]
--- a/pkg/fleet/versions_test.go
+++ b/pkg/fleet/versions_test.go
@@ -37,7 +37,7 @@
 		s = s.With(7, []fleet.Change{{Endpoint: endpoint("x", "v2")}, {Endpoint: endpoint("y", "v2")}})
 	})
 
-	It("that turn up get nothing until the orders are known up to then", func() {
+	It("get no work until the orders are known up to their appearance", func() {
 		Expect(ready()).To(HaveExactElements("a", "b"))
 		Expect(s.Barred("x")).To(BeTrue())
 		Expect(s.MayGetWork("x")).To(BeFalse())
@@ -47,12 +47,12 @@
 		Expect(ready()).To(HaveExactElements("a", "b", "x", "y"))
 	})
 
-	It("are all used by an instance that starts and knows of no order", func() {
+	It("are all used by an instance that starts without any order", func() {
 		s = fleet.New(9, []fleet.Endpoint{endpoint("a", "v1"), endpoint("x", "v2")}).Roll(ordered(8))
 		Expect(ready()).To(HaveExactElements("a", "x"))
 	})
 
-	DescribeTable("of an order get what it stands at",
+	DescribeTable("of an order get the traffic that its standing allows",
 		func(exposure fleet.Exposure, used, trial, barred []string) {
 			s = s.Roll(ordered(8, toV2))
 			stand(exposure, 0.5)
@@ -75,7 +75,7 @@
 		Entry("refuted", fleet.Refuted, []string{"a", "b"}, nil, []string{"x", "y"}),
 	)
 
-	It("get nothing that are refuted though no other is left, and get all that had it before the order", func() {
+	It("that are refuted get no work even if no other is left, and those with all traffic before the order keep it", func() {
 		gone := []fleet.Change{{Endpoint: endpoint("a", ""), Gone: true}, {Endpoint: endpoint("b", ""), Gone: true}}
 		s = s.Roll(ordered(8, toV2)).With(9, gone)
 		Expect(ready()).To(BeEmpty())
@@ -85,30 +85,30 @@
 		Expect(ready()).To(HaveExactElements("a"))
 	})
 
-	It("that are proven fall back to the others when none is left", func() {
+	It("that are proven fall back to the others when they have no endpoints left", func() {
 		s = s.Roll(ordered(8, toV2))
 		stand(fleet.Proven, 0)
 		s = s.With(9, []fleet.Change{{Endpoint: endpoint("x", ""), Gone: true}, {Endpoint: endpoint("y", ""), Gone: true}})
 		Expect(ready()).To(HaveExactElements("a", "b"))
 	})
 
-	It("whose order is taken back or replaced before they are proven get nothing while others are there", func() {
+	It("whose order is withdrawn or replaced before they are proven get no work while others have endpoints", func() {
 		s = s.Roll(ordered(8, toV2)).Roll(ordered(9))
 		Expect(ready()).To(HaveExactElements("a", "b"))
 		s = s.Roll(ordered(10, fleet.Rollout{Service: "s", Version: "v3", Revision: 10}))
 		Expect(ready()).To(HaveExactElements("a", "b"))
 		s = s.With(11, []fleet.Change{{Endpoint: endpoint("a", ""), Gone: true}, {Endpoint: endpoint("b", ""), Gone: true}})
-		Expect(ready()).To(HaveExactElements("x", "y"), "there is nothing else")
+		Expect(ready()).To(HaveExactElements("x", "y"), "no other version has endpoints")
 	})
 
-	It("whose order is taken back after they were proven are used", func() {
+	It("whose order is withdrawn after they were proven are used", func() {
 		s = s.Roll(ordered(8, toV2))
 		stand(fleet.Proven, 0)
 		s = s.Roll(ordered(9))
 		Expect(ready()).To(HaveExactElements("a", "b", "x", "y"))
 	})
 
-	It("share out requests alike at all instances, and about as they should", func() {
+	It("get about their share of the requests", func() {
 		trial := fleet.Trial{Order: order, Share: 0.06, Endpoints: []fleet.Endpoint{endpoint("x", "v2")}}
 		taken := 0
 		for n := range 20_000 {
@@ -117,10 +117,10 @@
 			}
 		}
 		Expect(taken).To(BeNumerically("~", 1200, 150))
-		Expect(fleet.Trial{Share: 1}.Takes("request")).To(BeFalse(), "nobody is there to take it")
+		Expect(fleet.Trial{Share: 1}.Takes("request")).To(BeFalse(), "the trial has no endpoints")
 	})
 
-	It("of an order that is not proven are never ready, in whatever order entries, orders and standings come", func() {
+	It("of an order that is not proven are never ready, in whatever sequence entries, orders and standings arrive", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			all := fleet.New(1, []fleet.Endpoint{endpoint("a", "v1")}).Roll(ordered(1))
 			revision := uint64(1)
