--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -1,5 +1,6 @@
-// Package group keeps the members known of a group of equal instances. One goroutine
-// owns the membership state; readers take copies through an atomic pointer.
+// Package group maintains the membership of a group of equal instances with heartbeats, which also
+// carry the state that the instances share. A single goroutine owns the membership; readers load
+// copies through an atomic pointer.
 package group
 
 import (
@@ -19,143 +20,142 @@
 )
 
 const (
-	// queueLength bounds the heartbeats that wait.
+	// queueLength is the capacity of the queue of received heartbeats.
 	queueLength = 256
-	// greetingFor is how long a new instance sends heartbeats greetingsEach times as often:
-	// until all know each other, each plans for itself.
-	greetingFor   = 4 * time.Second
-	greetingsEach = 5
+	// joinPeriod is how long a new instance sends heartbeats joinHeartbeatFactor times as often, to
+	// shorten the time until the instances know each other.
+	joinPeriod          = 4 * time.Second
+	joinHeartbeatFactor = 5
 )
 
-// Settings of a group's member.
+// Settings configures a group member.
 type Settings struct {
 	Self         membership.Self
 	Contacts     []string
 	Heartbeat    time.Duration
 	SuspectAfter time.Duration
-	// Claims returns what is told of the owners of parts; HeardClaims takes in what others
-	// tell, and must not block. Both may be nil.
+	// Claims returns the ownership claims to send, and HeardClaims receives those of other members.
+	// HeardClaims must not block. Both may be nil.
 	Claims      func() []ownership.Claim
 	HeardClaims func([]ownership.Claim)
-	// Division returns the division of the stage endpoints that is told, HeardDivision takes in
-	// that of another member, and must not block. Both may be nil.
+	// Division returns the division of the stage endpoints to send, and HeardDivision receives that
+	// of another member. HeardDivision must not block. Both may be nil.
 	Division      func() ownership.Division
 	HeardDivision func(ownership.Division)
-	// Revision returns the revision of the configuration in force here, which is told;
-	// HeardRevision takes in that of another member, and must not block. Both may be nil.
+	// Revision returns the revision of the local configuration to send, and HeardRevision receives
+	// that of another member. HeardRevision must not block. Both may be nil.
 	Revision      func() uint64
 	HeardRevision func(uint64)
-	// Ends returns up to n ends of endpoints under requests which may be why, which are told;
-	// HeardEnds takes in those of another member, and must not block. Both may be nil.
+	// Ends returns up to n endpoint failures, with the requests that may have caused them, to send.
+	// HeardEnds receives those of another member and must not block. Both may be nil.
 	Ends      func(n int) []quarantine.End
 	HeardEnds func([]quarantine.End)
-	// Departing returns up to n lives of endpoints that have said in answers that they leave, though
-	// the source does not say so, which are told; HeardDeparting takes in those of another member, and must
-	// not block. Both may be nil. They go with the usual heartbeats, and are not sent at once: whoever has
-	// sent something to an endpoint hears it from its own answers.
+	// Departing returns up to n IDs of departing endpoints that the source does not list as
+	// leaving, to send. HeardDeparting receives those of another member and must not block. Both
+	// may be nil. They are only sent with regular heartbeats, because instances that use such an
+	// endpoint learn of its departure from its responses.
 	Departing      func(n int) []string
 	HeardDeparting func(lives []string)
-	// Limits returns up to n limits that endpoints name for all instances, which are told; HeardLimits takes in those of
-	// another member, and must not block. Both may be nil.
+	// Limits returns up to n limits that endpoints set for all instances, to send. HeardLimits
+	// receives those of another member and must not block. Both may be nil.
 	Limits      func(n int) []throttle.Limit
 	HeardLimits func([]throttle.Limit)
 }
 
 const (
-	// endsSeldom is how many ends a heartbeat names that goes to all at once, or to who is heard for the
-	// first time; endsUsually how many others do. At 54 bytes each (BenchmarkEndSize) the usual ones add
-	// 11 KB a second to the 52 heartbeats that an instance of 295 sends, and only while there are any.
-	endsSeldom  = 32
-	endsUsually = 4
-	// departingTold is how many lives a heartbeat names that leave: 30 bytes each (BenchmarkDepartingSize), and
-	// only until the source says so.
-	departingTold = 8
-	// limitsTold is how many limits a heartbeat names: 39 bytes each (BenchmarkLimitSize), and only while some hold
-	// or were lifted lately.
-	limitsTold = 8
+	// maxEndsBroadcast is the maximum number of ends in a heartbeat that goes to all members or to
+	// a newly discovered one, and maxEndsPeriodic that in a regular heartbeat. An end takes 54
+	// bytes (BenchmarkEndSize).
+	maxEndsBroadcast = 32
+	maxEndsPeriodic  = 4
+	// maxDeparting is the maximum number of departing endpoints in a heartbeat. Each takes 30 bytes
+	// (BenchmarkDepartingSize).
+	maxDeparting = 8
+	// maxLimits is the maximum number of limits in a heartbeat. Each takes 39 bytes
+	// (BenchmarkLimitSize).
+	maxLimits = 8
 )
 
-// Transport sends heartbeats. Its method must not block.
+// Transport sends heartbeats. Broadcast must not block.
 type Transport interface {
 	Broadcast(h membership.Heartbeat, leaving []control.LeavingEndpoint, to []string)
 }
 
-// Group is this instance's knowledge of the others.
+// Group maintains the membership known to this instance.
 type Group struct {
 	settings  Settings
 	transport Transport
 	clock     clockwork.Clock
 	log       *logrus.Entry
-	heard     chan heard
-	// news says that something was decided here which some others are told at once, decision that
-	// all are.
-	news     chan struct{}
-	decision chan struct{}
-	leaving  atomic.Bool
-	members  atomic.Pointer[lists]
+	received  chan receivedHeartbeat
+	// notify requests a heartbeat to some members at once, notifyAll to all members.
+	notify    chan struct{}
+	notifyAll chan struct{}
+	leaving   atomic.Bool
+	members   atomic.Pointer[memberLists]
 }
 
-// heard is a heartbeat, and the lives of endpoints that it says leave.
-type heard struct {
+// receivedHeartbeat is a heartbeat with the departing endpoints it reports.
+type receivedHeartbeat struct {
 	membership.Heartbeat
 	departing []control.LeavingEndpoint
 }
 
-// lists are the other members by their state, at one time. They are immutable.
-type lists struct {
+// memberLists contains the other members by state. It is immutable.
+type memberLists struct {
 	live    []membership.Member
 	leaving []membership.Member
 }
 
-// New returns a group that knows its contacts only.
+// New returns a group that only knows its contacts.
 func New(settings Settings, transport Transport, clock clockwork.Clock, log *logrus.Entry) *Group {
-	g := &Group{settings: settings, transport: transport, clock: clock, log: log, heard: make(chan heard, queueLength), news: make(chan struct{}, 1), decision: make(chan struct{}, 1)}
-	g.members.Store(&lists{})
+	g := &Group{settings: settings, transport: transport, clock: clock, log: log, received: make(chan receivedHeartbeat, queueLength), notify: make(chan struct{}, 1), notifyAll: make(chan struct{}, 1)}
+	g.members.Store(&memberLists{})
 	return g
 }
 
-// Self is this instance.
+// Self returns this instance.
 func (g *Group) Self() membership.Self { return g.settings.Self }
 
-// Heard takes a heartbeat in; one for which there is no room counts as lost.
+// Heard queues a received heartbeat. If the queue is full the heartbeat is dropped.
 func (g *Group) Heard(h membership.Heartbeat, departing []control.LeavingEndpoint) {
 	select {
-	case g.heard <- heard{h, departing}:
+	case g.received <- receivedHeartbeat{h, departing}:
 	default:
 	}
 }
 
-// Leave has the others told that this instance leaves.
+// Leave announces that this instance is leaving.
 func (g *Group) Leave() {
 	g.leaving.Store(true)
 	g.Tell()
 }
 
-// Tell has a heartbeat sent at once.
-func (g *Group) Tell() { wake(g.news) }
+// Tell sends a heartbeat at once.
+func (g *Group) Tell() { signal(g.notify) }
 
-// TellAll has a heartbeat sent at once to all members, of other failure domains too: 54 KB at 295
-// instances. It is for what is decided seldom and counts everywhere, such as who owns a part: where
-// only some are told, each of the others finds out by a plan of its own that an owner is cut off, which
-// takes 0.6 s (803 plans of 295 instances in one cut of a failure domain).
-func (g *Group) TellAll() { wake(g.decision) }
+// TellAll sends a heartbeat to all members at once, including those in other failure domains. It is
+// meant for rare decisions that concern all members, such as a change of ownership, which they
+// would otherwise detect only after a delay.
+func (g *Group) TellAll() { signal(g.notifyAll) }
 
-func wake(sleeper chan struct{}) {
+func signal(c chan struct{}) {
 	select {
-	case sleeper <- struct{}{}:
+	case c <- struct{}{}:
 	default:
 	}
 }
 
-// Live returns the other members that live and are not leaving. The slice must not be changed.
+// Live returns the other members that are live and not leaving. The caller must not modify the
+// slice.
 func (g *Group) Live() []membership.Member { return g.members.Load().live }
 
-// Leaving returns the other members that are leaving. The slice must not be changed.
+// Leaving returns the other members that are leaving. The caller must not modify the slice.
 func (g *Group) Leaving() []membership.Member { return g.members.Load().leaving }
 
-// publish has readers see the members as they are now.
+// publish updates the lists returned to readers.
 func (g *Group) publish(members []membership.Member) {
-	l := &lists{}
+	l := &memberLists{}
 	for _, m := range members {
 		switch m.State {
 		case membership.Live:
@@ -167,32 +167,32 @@
 	g.members.Store(l)
 }
 
-// Run owns the state until t dies.
+// Run owns the membership until t dies.
 func (g *Group) Run(t *tomb.Tomb) error {
 	members := membership.New(g.settings.Self, g.settings.SuspectAfter, g.settings.Contacts)
 	begin := g.clock.Now()
-	ticker := g.clock.NewTicker(g.settings.Heartbeat / greetingsEach)
+	ticker := g.clock.NewTicker(g.settings.Heartbeat / joinHeartbeatFactor)
 	defer ticker.Stop()
-	greeting := true
-	g.beat(members)
+	joining := true
+	g.sendHeartbeats(members)
 	for {
 		select {
-		case h := <-g.heard:
-			g.tell(members.Observe(g.clock.Now(), h.Heartbeat))
-			g.hearNews(h)
-		case <-g.news:
-			g.beat(members)
-		case <-g.decision:
-			g.send(members.NextToAll(), endsSeldom)
+		case h := <-g.received:
+			g.logChanges(members.Observe(g.clock.Now(), h.Heartbeat))
+			g.dispatch(h)
+		case <-g.notify:
+			g.sendHeartbeats(members)
+		case <-g.notifyAll:
+			g.send(members.NextToAll(), maxEndsBroadcast)
 		case <-ticker.Chan():
-			g.tell(members.Tick(g.clock.Now()))
-			g.beat(members)
-			if greeting && g.clock.Since(begin) > greetingFor {
-				greeting = false
+			g.logChanges(members.Tick(g.clock.Now()))
+			g.sendHeartbeats(members)
+			if joining && g.clock.Since(begin) > joinPeriod {
+				joining = false
 				ticker.Reset(g.settings.Heartbeat)
 			}
 		case <-t.Dying():
-			g.beat(members)
+			g.sendHeartbeats(members)
 			return nil
 		}
 		if members.Changed() {
@@ -201,8 +201,8 @@
 	}
 }
 
-// hearNews passes on what a heartbeat tells beyond its sender's life.
-func (g *Group) hearNews(h heard) {
+// dispatch passes the shared state in a heartbeat to the handlers.
+func (g *Group) dispatch(h receivedHeartbeat) {
 	if g.settings.HeardDivision != nil && h.Division.Term > 0 {
 		g.settings.HeardDivision(h.Division)
 	}
@@ -227,30 +227,29 @@
 	}
 }
 
-// departing are the lives of endpoints that are told to leave. A life's ID stands for name and incarnation
-// together.
+// departing returns the departing endpoints to send. The ID contains both name and incarnation.
 func (g *Group) departing() []control.LeavingEndpoint {
 	if g.settings.Departing == nil {
 		return nil
 	}
 	var departing []control.LeavingEndpoint
-	for _, life := range g.settings.Departing(departingTold) {
-		departing = append(departing, control.LeavingEndpoint{Name: life})
+	for _, id := range g.settings.Departing(maxDeparting) {
+		departing = append(departing, control.LeavingEndpoint{Name: id})
 	}
 	return departing
 }
 
-func (g *Group) beat(members *membership.Members) {
+func (g *Group) sendHeartbeats(members *membership.Members) {
 	for n, message := range members.Next(g.clock.Now(), rand.IntN) {
-		ends := endsUsually
+		ends := maxEndsPeriodic
 		if n > 0 {
-			ends = endsSeldom
+			ends = maxEndsBroadcast
 		}
 		g.send(message, ends)
 	}
 }
 
-// send sends a heartbeat that names up to so many ends.
+// send sends a heartbeat with up to the given number of ends.
 func (g *Group) send(message membership.Message, ends int) {
 	h := message.Heartbeat
 	h.Leaving = g.leaving.Load()
@@ -267,12 +266,12 @@
 		h.Ends = g.settings.Ends(ends)
 	}
 	if g.settings.Limits != nil {
-		h.Limits = g.settings.Limits(limitsTold)
+		h.Limits = g.settings.Limits(maxLimits)
 	}
 	g.transport.Broadcast(h, g.departing(), message.To)
 }
 
-func (g *Group) tell(changes []membership.Change) {
+func (g *Group) logChanges(changes []membership.Change) {
 	for _, c := range changes {
 		g.log.WithFields(logrus.Fields{"event": "member", "instance": c.Member.Name, "state": string(c.State), "new": c.New}).Info()
 	}
--- a/pkg/group/group_test.go
+++ b/pkg/group/group_test.go
@@ -23,29 +23,28 @@
 	RunSpecs(t, "group")
 }
 
-// network carries heartbeats between groups by their peer addresses.
+// network delivers heartbeats between groups by their peer addresses.
 type network struct {
 	clock  *clockwork.FakeClock
 	mu     sync.Mutex
 	groups map[string]*group.Group
-	// sent are the times at which an instance has sent, by its name.
+	// sent contains the times at which each instance has sent.
 	sent map[string]map[time.Time]bool
-	// heard are the addresses that one heartbeat was sent to, by sender: the longest such list.
-	heard map[string][]string
+	// recipients contains the longest list of addresses that a heartbeat of each sender went to.
+	recipients map[string][]string
 }
 
-// forget forgets who heard.
-func (n *network) forget() {
+func (n *network) resetRecipients() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.heard = map[string][]string{}
+	n.recipients = map[string][]string{}
 }
 
-// heardFrom returns the addresses that one heartbeat of an instance was sent to.
-func (n *network) heardFrom(name string) []string {
+// recipientsOf returns the longest list of addresses that a heartbeat of an instance went to.
+func (n *network) recipientsOf(name string) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.heard[name]
+	return n.recipients[name]
 }
 
 // Broadcast implements group.Transport.
@@ -56,8 +55,8 @@
 		n.sent[h.From.Name] = map[time.Time]bool{}
 	}
 	n.sent[h.From.Name][n.clock.Now()] = true
-	if len(to) > len(n.heard[h.From.Name]) {
-		n.heard[h.From.Name] = to
+	if len(to) > len(n.recipients[h.From.Name]) {
+		n.recipients[h.From.Name] = to
 	}
 	for _, address := range to {
 		if g := n.groups[address]; g != nil {
@@ -66,9 +65,9 @@
 	}
 }
 
-// beats returns at how many times an instance has sent: each time it may send one heartbeat to those it
-// knows and another to those it has just heard of.
-func (n *network) beats(name string) int {
+// sendTimes returns the number of distinct times at which an instance has sent. It may send one
+// heartbeat to known members and another one to newly discovered members at the same time.
+func (n *network) sendTimes(name string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.sent[name])
@@ -81,10 +80,10 @@
 		all   []*group.Group
 	)
 
-	// start has so many instances start together, instead of those before.
+	// start replaces the current instances by the given number of new ones.
 	start := func(instances int) {
 		clock = clockwork.NewFakeClock()
-		n = &network{clock: clock, groups: map[string]*group.Group{}, sent: map[string]map[time.Time]bool{}, heard: map[string][]string{}}
+		n = &network{clock: clock, groups: map[string]*group.Group{}, sent: map[string]map[time.Time]bool{}, recipients: map[string][]string{}}
 		all = nil
 		var t tomb.Tomb
 		DeferCleanup(func() {
@@ -93,7 +92,7 @@
 		})
 		for i := range instances {
 			self := membership.Self{Name: fmt.Sprint("i", i), Incarnation: 1, FailureDomain: fmt.Sprint("d", i%4), PeerAddress: fmt.Sprint("a", i)}
-			// All know one contact, as from the settings.
+			// All instances know one contact, as if from the settings.
 			g := group.New(group.Settings{Self: self, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: 3 * time.Second}, n, clock, logging.Discard().For("peers"))
 			n.groups[self.PeerAddress] = g
 			all = append(all, g)
@@ -105,19 +104,18 @@
 
 	BeforeEach(func() { start(7) })
 
-	// step lets a fifth of a second pass, and waits until instance i1 has sent what it sends
-	// then, if it does.
-	step := func(beats bool) {
+	// step advances the clock by 200 ms. If wait is set, it waits until instance i1 has sent.
+	step := func(wait bool) {
 		GinkgoHelper()
 		Expect(clock.BlockUntilContext(GinkgoT().Context(), len(all))).To(Succeed())
-		before := n.beats("i1")
+		before := n.sendTimes("i1")
 		clock.Advance(200 * time.Millisecond)
-		if beats {
-			Eventually(func() int { return n.beats("i1") }).Should(Equal(before + 1))
+		if wait {
+			Eventually(func() int { return n.sendTimes("i1") }).Should(Equal(before + 1))
 		}
 	}
 
-	It("knows all its members, and hears who leaves", func() {
+	It("discovers all members, and learns which of them leave", func() {
 		for _, g := range all {
 			Eventually(func() int {
 				clock.Advance(200 * time.Millisecond)
@@ -131,7 +129,7 @@
 		}).Should(Equal(len(all) - 2))
 	})
 
-	It("tells all members at once of what was decided, also in other failure domains", func() {
+	It("notifies all members at once, including those in other failure domains", func() {
 		start(24)
 		for _, g := range all {
 			Eventually(func() int {
@@ -139,15 +137,15 @@
 				return len(g.Live())
 			}).Should(Equal(len(all) - 1))
 		}
-		n.forget()
+		n.resetRecipients()
 		all[1].TellAll()
-		Eventually(func() []string { return n.heardFrom("i1") }).Should(HaveLen(len(all) - 1))
+		Eventually(func() []string { return n.recipientsOf("i1") }).Should(HaveLen(len(all) - 1))
 	})
 
-	It("tells of ends: many at once to all and to who is new, a few with the usual heartbeats", func() {
+	It("sends many ends to all members at once and to new ones, and a few with regular heartbeats", func() {
 		var mu sync.Mutex
 		asked := map[int]bool{}
-		told := func(n int) []quarantine.End {
+		ends := func(n int) []quarantine.End {
 			mu.Lock()
 			defer mu.Unlock()
 			asked[n] = true
@@ -155,17 +153,17 @@
 		}
 		heard := make(chan int, 1000)
 		clock = clockwork.NewFakeClock()
-		n = &network{clock: clock, groups: map[string]*group.Group{}, sent: map[string]map[time.Time]bool{}, heard: map[string][]string{}}
+		n = &network{clock: clock, groups: map[string]*group.Group{}, sent: map[string]map[time.Time]bool{}, recipients: map[string][]string{}}
 		var t tomb.Tomb
 		DeferCleanup(func() {
 			t.Kill(nil)
 			_ = t.Wait()
 		})
-		teller := group.New(group.Settings{Self: membership.Self{Name: "teller", PeerAddress: "a0"}, Contacts: []string{"a1"}, Heartbeat: time.Second, SuspectAfter: time.Second, Ends: told}, n, clock, logging.Discard().For("peers"))
-		hearer := group.New(group.Settings{Self: membership.Self{Name: "hearer", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, HeardEnds: func(ends []quarantine.End) { heard <- len(ends) }}, n, clock, logging.Discard().For("peers"))
-		n.groups["a0"], n.groups["a1"] = teller, hearer
-		t.Go(func() error { return teller.Run(&t) })
-		t.Go(func() error { return hearer.Run(&t) })
+		sender := group.New(group.Settings{Self: membership.Self{Name: "sender", PeerAddress: "a0"}, Contacts: []string{"a1"}, Heartbeat: time.Second, SuspectAfter: time.Second, Ends: ends}, n, clock, logging.Discard().For("peers"))
+		receiver := group.New(group.Settings{Self: membership.Self{Name: "receiver", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, HeardEnds: func(ends []quarantine.End) { heard <- len(ends) }}, n, clock, logging.Discard().For("peers"))
+		n.groups["a0"], n.groups["a1"] = sender, receiver
+		t.Go(func() error { return sender.Run(&t) })
+		t.Go(func() error { return receiver.Run(&t) })
 		next := func() int {
 			clock.Advance(200 * time.Millisecond)
 			select {
@@ -175,33 +173,33 @@
 				return 0
 			}
 		}
-		Eventually(next).Should(Equal(32), "greeted")
-		Eventually(next).Should(Equal(4), "as usual")
+		Eventually(next).Should(Equal(32), "to a new member")
+		Eventually(next).Should(Equal(4), "with a regular heartbeat")
 		for len(heard) > 0 {
 			<-heard
 		}
-		teller.TellAll()
+		sender.TellAll()
 		Eventually(heard).Should(Receive(Equal(32)))
 		mu.Lock()
 		defer mu.Unlock()
 		Expect(asked).To(Equal(map[int]bool{4: true, 32: true}))
 	})
 
-	It("tells of endpoints that leave, a few with each heartbeat", func() {
+	It("sends a few departing endpoints with each heartbeat", func() {
 		heard := make(chan []string, 1000)
 		clock = clockwork.NewFakeClock()
-		n = &network{clock: clock, groups: map[string]*group.Group{}, sent: map[string]map[time.Time]bool{}, heard: map[string][]string{}}
+		n = &network{clock: clock, groups: map[string]*group.Group{}, sent: map[string]map[time.Time]bool{}, recipients: map[string][]string{}}
 		var t tomb.Tomb
 		DeferCleanup(func() {
 			t.Kill(nil)
 			_ = t.Wait()
 		})
 		departing := func(n int) []string { return []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}[:n] }
-		teller := group.New(group.Settings{Self: membership.Self{Name: "teller", PeerAddress: "a0"}, Contacts: []string{"a1"}, Heartbeat: time.Second, SuspectAfter: time.Second, Departing: departing}, n, clock, logging.Discard().For("peers"))
-		hearer := group.New(group.Settings{Self: membership.Self{Name: "hearer", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, HeardDeparting: func(lives []string) { heard <- lives }}, n, clock, logging.Discard().For("peers"))
-		n.groups["a0"], n.groups["a1"] = teller, hearer
-		t.Go(func() error { return teller.Run(&t) })
-		t.Go(func() error { return hearer.Run(&t) })
+		sender := group.New(group.Settings{Self: membership.Self{Name: "sender", PeerAddress: "a0"}, Contacts: []string{"a1"}, Heartbeat: time.Second, SuspectAfter: time.Second, Departing: departing}, n, clock, logging.Discard().For("peers"))
+		receiver := group.New(group.Settings{Self: membership.Self{Name: "receiver", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, HeardDeparting: func(lives []string) { heard <- lives }}, n, clock, logging.Discard().For("peers"))
+		n.groups["a0"], n.groups["a1"] = sender, receiver
+		t.Go(func() error { return sender.Run(&t) })
+		t.Go(func() error { return receiver.Run(&t) })
 		Eventually(func() int {
 			clock.Advance(200 * time.Millisecond)
 			return len(heard)
@@ -209,19 +207,19 @@
 		Expect(<-heard).To(Equal([]string{"a", "b", "c", "d", "e", "f", "g", "h"}))
 	})
 
-	It("sends heartbeats five times as often at first, and then once a second", func() {
-		Eventually(func() int { return n.beats("i1") }).Should(Equal(1))
+	It("sends heartbeats five times as often while joining, and then once a second", func() {
+		Eventually(func() int { return n.sendTimes("i1") }).Should(Equal(1))
 		for range 20 {
 			step(true)
 		}
 		Eventually(func() int {
 			step(false)
-			return n.beats("i1")
+			return n.sendTimes("i1")
 		}).Should(BeNumerically(">", 21))
-		before := n.beats("i1")
+		before := n.sendTimes("i1")
 		for range 4 {
 			step(false)
 		}
-		Expect(n.beats("i1") - before).To(BeNumerically("<=", 1))
+		Expect(n.sendTimes("i1") - before).To(BeNumerically("<=", 1))
 	})
 })
