--- a/pkg/lease/keeper.go
+++ b/pkg/lease/keeper.go
@@ -1,5 +1,5 @@
-// Package lease holds a right that one instance at a time may have, in the platform's
-// key-value service. Each holder gets a fencing token that is higher than all before.
+// Package lease implements a lease that at most one instance holds at a time, in the platform's
+// key-value service. Each holder gets a fencing token that is higher than all previous ones.
 package lease
 
 import (
@@ -17,33 +17,33 @@
 )
 
 const (
-	// marginPart is the part of a lease's time that the holder does not count on:
-	// clocks of two machines run apart.
-	marginPart = 5
-	// renewPart is the part of a lease's time after which it is renewed.
-	renewPart = 3
+	// marginDivisor determines the safety margin of a lease as a fraction of its TTL, which allows
+	// for clock drift between machines.
+	marginDivisor = 5
+	// renewDivisor determines the renewal interval as a fraction of the TTL.
+	renewDivisor = 3
 )
 
-// Record is the value of a lease's key.
+// Record is the value stored under the key of a lease.
 type Record struct {
 	Holder string `json:"holder"`
 	Nonce  string `json:"nonce"`
 }
 
-// Holding is a lease that is held.
+// Holding describes a lease that is held.
 type Holding struct {
-	// Token is the fencing token: the key's version when the lease was taken, which
-	// the service makes grow with every write.
+	// Token is the fencing token: the version of the key when the lease was acquired, which the
+	// service increases with every write.
 	Token int64
-	// Since is when the lease was taken.
+	// Since is when the lease was acquired.
 	Since time.Time
-	// Until is when it must no longer be used. It is reckoned from before the last
-	// renewal was sent, on the monotonic clock, so that a pause of the process or a
-	// slow answer can only make it end too early.
+	// Until is when the lease must no longer be used. It counts from before the last renewal was
+	// sent, on the monotonic clock, so that a paused process or a slow response can only shorten
+	// it.
 	Until time.Time
 }
 
-// Keeper takes and renews one lease. Safe for concurrent use.
+// Keeper acquires and renews one lease. It is safe for concurrent use.
 type Keeper struct {
 	kv    infra.KeyValue
 	clock clockwork.Clock
@@ -51,7 +51,7 @@
 	key   string
 	self  string
 	ttl   time.Duration
-	// wanted tells whether this instance should hold the lease.
+	// wanted reports whether this instance should hold the lease.
 	wanted func() bool
 
 	mu      sync.Mutex
@@ -59,34 +59,34 @@
 	lease   infra.LeaseID
 }
 
-// NewKeeper returns a keeper of the lease at key; Run must be called for it to work.
+// NewKeeper returns a keeper for the lease at key. The caller must call Run.
 func NewKeeper(kv infra.KeyValue, clock clockwork.Clock, log *logrus.Entry, key, self string, ttl time.Duration, wanted func() bool) *Keeper {
 	return &Keeper{kv: kv, clock: clock, log: log, key: key, self: self, ttl: ttl, wanted: wanted}
 }
 
-// TTL returns the lease's time.
+// TTL returns the TTL of the lease.
 func (k *Keeper) TTL() time.Duration { return k.ttl }
 
-// Held returns the holding, and whether it may be used now.
+// Held returns the held lease and whether it may be used now.
 func (k *Keeper) Held() (Holding, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.holding, k.holding.Token != 0 && k.clock.Now().Before(k.holding.Until)
 }
 
-// Run takes and renews the lease until ctx ends, then gives it up.
+// Run acquires and renews the lease until ctx is done, then releases it.
 func (k *Keeper) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		k.Step(ctx)
 		select {
-		case <-k.clock.After(k.ttl / renewPart):
+		case <-k.clock.After(k.ttl / renewDivisor):
 		case <-ctx.Done():
 		}
 	}
 	k.release()
 }
 
-// Step takes the lease if it is free, or renews it.
+// Step acquires the lease if it is free, or renews it.
 func (k *Keeper) Step(ctx context.Context) {
 	k.mu.Lock()
 	lease := k.lease
@@ -96,7 +96,7 @@
 		return
 	}
 	if k.wanted() {
-		k.take(ctx)
+		k.acquire(ctx)
 	}
 }
 
@@ -104,33 +104,34 @@
 	sent := k.clock.Now()
 	err := k.kv.KeepAlive(ctx, lease)
 	if err != nil && problem.KindOf(err) == problem.NotFound {
-		k.lose("the lease ended before it was renewed")
+		k.markLost("lease expired before it was renewed")
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err == nil {
-		k.holding.Until = k.usable(sent)
+		k.holding.Until = k.usableUntil(sent)
 		return
 	}
-	// Unknown or out: it may have been renewed, but may not be counted on. Once the
-	// old time is over, a new lease is needed.
-	if k.clock.Now().After(k.holding.Until.Add(k.ttl / marginPart)) {
+	// The renewal may have succeeded but cannot be relied on. A new lease is needed once the old
+	// one has expired.
+	if k.clock.Now().After(k.holding.Until.Add(k.ttl / marginDivisor)) {
 		k.lease, k.holding = 0, Holding{}
 	}
 }
 
-func (k *Keeper) usable(sent time.Time) time.Time { return sent.Add(k.ttl - k.ttl/marginPart) }
+func (k *Keeper) usableUntil(sent time.Time) time.Time { return sent.Add(k.ttl - k.ttl/marginDivisor) }
 
-func (k *Keeper) lose(why string) {
+func (k *Keeper) markLost(reason string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lease, k.holding = 0, Holding{}
-	k.log.WithFields(logrus.Fields{"event": "lease_lost", "key": k.key}).Warn(why)
+	k.log.WithFields(logrus.Fields{"event": "lease_lost", "key": k.key}).Warn(reason)
 }
 
-// take tries to take the lease. A write whose answer was lost is read back.
-func (k *Keeper) take(ctx context.Context) {
+// acquire tries to acquire the lease. If the response to the write is lost, it reads the record
+// back.
+func (k *Keeper) acquire(ctx context.Context) {
 	sent := k.clock.Now()
 	lease, err := k.kv.Grant(ctx, k.ttl)
 	if err != nil {
@@ -151,7 +152,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lease = lease
-	k.holding = Holding{Token: token, Since: k.clock.Now(), Until: k.usable(sent)}
+	k.holding = Holding{Token: token, Since: k.clock.Now(), Until: k.usableUntil(sent)}
 	k.log.WithFields(logrus.Fields{"event": "lease_taken", "key": k.key, "token": token}).Info()
 }
 
@@ -167,7 +168,7 @@
 	return value.Version, nil
 }
 
-// release gives the lease up, so that another instance need not wait for its end.
+// release releases the lease, so that another instance need not wait for its expiry.
 func (k *Keeper) release() {
 	k.mu.Lock()
 	held := k.lease != 0
@@ -176,9 +177,9 @@
 	if !held {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), k.ttl/renewPart)
+	ctx, cancel := context.WithTimeout(context.Background(), k.ttl/renewDivisor)
 	defer cancel()
-	// The key is deleted only if it still is ours: the value compared names us.
+	// Delete the key only if the record still names this instance.
 	value, err := k.kv.Get(ctx, k.key)
 	var found Record
 	if err == nil && json.Unmarshal(value.Data, &found) == nil && found.Holder == k.self {
--- a/pkg/lease/keeper_test.go
+++ b/pkg/lease/keeper_test.go
@@ -21,7 +21,7 @@
 	RunSpecs(t, "lease")
 }
 
-// ttl is long against a call on a busy machine: the stand-in ends leases by real time.
+// ttl is long compared to a call on a busy machine, since the stand-in expires leases in real time.
 const ttl = 3 * time.Second
 
 var _ = Describe("a lease", func() {
@@ -51,27 +51,27 @@
 		b, clockB = newKeeper("b")
 	})
 
-	It("has one holder at a time, and a higher token with each", func() {
+	It("has one holder at a time, and a higher token for each", func() {
 		a.Step(ctx)
 		b.Step(ctx)
 		Expect(held(a)).To(BeTrue())
 		Expect(held(b)).To(BeFalse())
 		first, _ := a.Held()
-		By("the holder pauses beyond the lease; the service ends it")
+		By("pausing the holder for longer than the TTL, so that the service expires the lease")
 		Eventually(func() bool {
 			b.Step(ctx)
 			return held(b)
 		}, 5*ttl, 50*time.Millisecond).Should(BeTrue())
 		second, _ := b.Held()
 		Expect(second.Token).To(BeNumerically(">", first.Token))
-		By("the old holder wakes up: by its clock, the lease is over before it asks anyone")
+		By("resuming the old holder, whose own clock tells that the lease has expired")
 		clockA.Advance(2 * ttl)
 		Expect(held(a)).To(BeFalse())
 		a.Step(ctx)
 		Expect(held(a)).To(BeFalse())
 	})
 
-	It("ends for its holder before it ends at the service, unless renewed", func() {
+	It("expires for its holder before it expires at the service, unless renewed", func() {
 		a.Step(ctx)
 		clockA.Advance(ttl * 7 / 10)
 		Expect(held(a)).To(BeTrue())
@@ -82,7 +82,7 @@
 		Expect(held(a)).To(BeFalse())
 	})
 
-	It("is not counted on when renewals are lost, and is taken anew after an outage longer than it", func() {
+	It("is not usable when renewals fail, and is acquired again after an outage longer than its TTL", func() {
 		a.Step(ctx)
 		first, _ := a.Held()
 		service.SetFaults(standin.KeyValueFaults{Outage: true})
@@ -100,9 +100,9 @@
 		Expect(second.Token).To(BeNumerically(">", first.Token))
 	})
 
-	It("is known as taken though the answer was lost", func() {
+	It("is recognised as acquired when the response was lost", func() {
 		service.SetFaults(standin.KeyValueFaults{})
-		b.Step(ctx) // the grant of b goes first, so that one lost answer is a's swap
+		b.Step(ctx) // b's grant goes first, so that the lost response is that of a's swap
 		Expect(held(b)).To(BeTrue())
 		clockB.Advance(time.Hour)
 		Eventually(func() bool {
