--- a/pkg/discovery/departing.go
+++ b/pkg/discovery/departing.go
@@ -41,10 +41,10 @@
 	return &departures{pending: map[string]Teller{}, notify: make(chan struct{}, 1), seen: map[string]time.Time{}}
 }
 
-func (d *departures) add(from Teller, lives []string) {
+func (d *departures) add(from Teller, ids []string) {
 	d.mu.Lock()
-	for _, life := range lives {
-		d.pending[life] = from
+	for _, id := range ids {
+		d.pending[id] = from
 	}
 	d.mu.Unlock()
 	select {
@@ -63,12 +63,12 @@
 
 // Depart records that endpoints have announced their departure, in a response to this instance or
 // through a peer. It does not block.
-func (f *Follower) Depart(from Teller, lives ...string) {
+func (f *Follower) Depart(from Teller, ids ...string) {
 	known := f.View().listed
 	var unknown []string
-	for _, life := range lives {
-		if !known.Departing(life) {
-			unknown = append(unknown, life)
+	for _, id := range ids {
+		if !known.Departing(id) {
+			unknown = append(unknown, id)
 		}
 	}
 	if len(unknown) > 0 {
@@ -96,12 +96,12 @@
 
 func (departuresUpdate) apply(f *Follower, view *View) func() {
 	now := f.clock.Now()
-	for life, from := range f.departures.drain() {
-		if _, known := f.departures.seen[life]; !known {
-			e, listed := view.listed.Endpoint(life)
-			f.log.WithFields(logrus.Fields{"event": "endpoint_leaves", "endpoint": life, "service": e.Service, "listed": listed, "from": string(from)}).Info()
+	for id, from := range f.departures.drain() {
+		if _, known := f.departures.seen[id]; !known {
+			e, listed := view.listed.Endpoint(id)
+			f.log.WithFields(logrus.Fields{"event": "endpoint_leaves", "endpoint": id, "service": e.Service, "listed": listed, "from": string(from)}).Info()
 		}
-		f.departures.seen[life] = now
+		f.departures.seen[id] = now
 	}
 	all := f.departures.prune(now, view.listed)
 	view.updateSnapshots(func(s *fleet.Snapshot) *fleet.Snapshot { return s.Depart(all) })
@@ -111,12 +111,12 @@
 // prune drops departures that have expired and returns the remaining ones.
 func (d *departures) prune(now time.Time, listed *fleet.Snapshot) fleet.Departures {
 	all := make(fleet.Departures, len(d.seen))
-	for life, at := range d.seen {
-		if _, still := listed.Endpoint(life); !still && now.Sub(at) > departureRetention {
-			delete(d.seen, life)
+	for id, at := range d.seen {
+		if _, still := listed.Endpoint(id); !still && now.Sub(at) > departureRetention {
+			delete(d.seen, id)
 			continue
 		}
-		all[life] = true
+		all[id] = true
 	}
 	return all
 }
--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -55,7 +55,7 @@
 	// may be nil. They are only sent with regular heartbeats, because instances that use such an
 	// endpoint learn of its departure from its responses.
 	Departing      func(n int) []string
-	HeardDeparting func(lives []string)
+	HeardDeparting func(ids []string)
 	// Limits returns up to n limits that endpoints set for all instances, to send. HeardLimits
 	// receives those of another member and must not block. Both may be nil.
 	Limits      func(n int) []throttle.Limit
@@ -219,11 +219,11 @@
 		g.settings.HeardLimits(h.Limits)
 	}
 	if g.settings.HeardDeparting != nil && len(h.departing) > 0 {
-		lives := make([]string, len(h.departing))
+		ids := make([]string, len(h.departing))
 		for i, e := range h.departing {
-			lives[i] = e.Name
+			ids[i] = e.Name
 		}
-		g.settings.HeardDeparting(lives)
+		g.settings.HeardDeparting(ids)
 	}
 }
 
