--- a/pkg/discovery/departing.go
+++ b/pkg/discovery/departing.go
@@ -15,13 +15,13 @@
 // without the leaving flag.
 const departureRetention = 10 * time.Minute
 
-// Teller identifies how a departure was learned.
-type Teller string
+// DepartureSource identifies how a departure was learned.
+type DepartureSource string
 
 // Values of Teller.
 const (
-	Answer Teller = "answer"
-	Peer   Teller = "peer"
+	Answer DepartureSource = "answer"
+	Peer   DepartureSource = "peer"
 )
 
 // departures collects departures reported by endpoints or peers until the goroutine that owns the
@@ -29,7 +29,7 @@
 type departures struct {
 	mu sync.Mutex
 	// pending holds endpoint IDs that are not applied to the view yet.
-	pending map[string]Teller
+	pending map[string]DepartureSource
 	// notify wakes the goroutine that owns the view.
 	notify chan struct{}
 	// seen maps endpoint IDs to the time of the last report. Only the goroutine that owns the view
@@ -38,10 +38,10 @@
 }
 
 func newDepartures() *departures {
-	return &departures{pending: map[string]Teller{}, notify: make(chan struct{}, 1), seen: map[string]time.Time{}}
+	return &departures{pending: map[string]DepartureSource{}, notify: make(chan struct{}, 1), seen: map[string]time.Time{}}
 }
 
-func (d *departures) add(from Teller, ids []string) {
+func (d *departures) add(from DepartureSource, ids []string) {
 	d.mu.Lock()
 	for _, id := range ids {
 		d.pending[id] = from
@@ -53,17 +53,17 @@
 	}
 }
 
-func (d *departures) drain() map[string]Teller {
+func (d *departures) drain() map[string]DepartureSource {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	waiting := d.pending
-	d.pending = map[string]Teller{}
+	d.pending = map[string]DepartureSource{}
 	return waiting
 }
 
 // Depart records that endpoints have announced their departure, in a response to this instance or
 // through a peer. It does not block.
-func (f *Follower) Depart(from Teller, ids ...string) {
+func (f *Follower) Depart(from DepartureSource, ids ...string) {
 	known := f.View().listed
 	var unknown []string
 	for _, id := range ids {
