--- a/pkg/discovery/departing.go
+++ b/pkg/discovery/departing.go
@@ -20,8 +20,8 @@
 
 // Values of Teller.
 const (
-	Answer DepartureSource = "answer"
-	Peer   DepartureSource = "peer"
+	FromResponse DepartureSource = "answer"
+	Peer         DepartureSource = "peer"
 )
 
 // departures collects departures reported by endpoints or peers until the goroutine that owns the
