--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -46,7 +46,7 @@
 
 // departing and hearDeparting tell and hear which endpoints have said that they leave.
 func (g *Gateway) departing(n int) []string     { return g.follower.Departing(n) }
-func (g *Gateway) hearDeparting(lives []string) { g.follower.Depart(discovery.Peer, lives...) }
+func (g *Gateway) hearDeparting(lives []string) { g.follower.Depart(discovery.FromPeer, lives...) }
 
 // tellLimits and hearLimits tell and hear which endpoints take only so much from all instances together.
 func (g *Gateway) tellLimits(n int) []throttle.Limit  { return g.limited.Tell(n) }
--- a/pkg/discovery/departing.go
+++ b/pkg/discovery/departing.go
@@ -21,7 +21,7 @@
 // Values of Teller.
 const (
 	FromResponse DepartureSource = "answer"
-	Peer         DepartureSource = "peer"
+	FromPeer     DepartureSource = "peer"
 )
 
 // departures collects departures reported by endpoints or peers until the goroutine that owns the
