--- a/pkg/discovery/bounds_test.go
+++ b/pkg/discovery/bounds_test.go
@@ -20,12 +20,12 @@
 	documents atomic.Int64
 }
 
-func (c *countingSource) Document(ctx context.Context, p discovery.Progress) (discovery.Newest, error) {
+func (c *countingSource) Document(ctx context.Context, p discovery.Progress) (discovery.LatestDocument, error) {
 	c.documents.Add(1)
 	return c.fakeSource.Document(ctx, p)
 }
 
-func (c *countingSource) WatchDocument(ctx context.Context, since uint64, wait time.Duration, p discovery.Progress) (discovery.Newest, error) {
+func (c *countingSource) WatchDocument(ctx context.Context, since uint64, wait time.Duration, p discovery.Progress) (discovery.LatestDocument, error) {
 	c.documents.Add(1)
 	return c.fakeSource.WatchDocument(ctx, since, wait, p)
 }
--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -89,13 +89,13 @@
 	return discovery.State{Revision: state.Revision, Endpoints: state.Endpoints}, nil
 }
 
-func (s *fakeSource) Document(context.Context, discovery.Progress) (discovery.Newest, error) {
+func (s *fakeSource) Document(context.Context, discovery.Progress) (discovery.LatestDocument, error) {
 	state, out := s.read()
 	if out {
-		return discovery.Newest{}, errUnavailable
+		return discovery.LatestDocument{}, errUnavailable
 	}
 	s.recordEvacuated(state)
-	return discovery.Newest{At: state.Revision, Document: state.Document, Evacuations: ordersBetween(nil, state.Evacuated), Rollouts: ordersOf(state.Rollouts)}, nil
+	return discovery.LatestDocument{At: state.Revision, Document: state.Document, Evacuations: ordersBetween(nil, state.Evacuated), Rollouts: ordersOf(state.Rollouts)}, nil
 }
 
 // recordEvacuated records the evacuated failure domains returned as of a revision.
@@ -118,9 +118,9 @@
 	return changes, err
 }
 
-func (s *fakeSource) WatchDocument(ctx context.Context, since uint64, wait time.Duration, _ discovery.Progress) (discovery.Newest, error) {
+func (s *fakeSource) WatchDocument(ctx context.Context, since uint64, wait time.Duration, _ discovery.Progress) (discovery.LatestDocument, error) {
 	state, err := s.await(ctx, since, wait, &s.documentHistoryGone)
-	newest := discovery.Newest{At: state.Revision}
+	newest := discovery.LatestDocument{At: state.Revision}
 	if state.Document.Revision > since {
 		newest.Document = state.Document
 	}
--- a/pkg/discovery/documents.go
+++ b/pkg/discovery/documents.go
@@ -152,7 +152,7 @@
 
 // deliverDocument delivers a response of the source to the view. The response contains the orders
 // given after since, or all orders in force if since is 0.
-func (f *Follower) deliverDocument(ctx context.Context, newest Newest, since uint64, at time.Time) {
+func (f *Follower) deliverDocument(ctx context.Context, newest LatestDocument, since uint64, at time.Time) {
 	f.logInvalidEvacuations(newest.Evacuations, newest.At)
 	f.logInvalidRollouts(newest.Rollouts)
 	view := f.View()
--- a/pkg/discovery/source.go
+++ b/pkg/discovery/source.go
@@ -38,8 +38,8 @@
 	Endpoints []fleet.Change `json:"endpoints,omitempty"`
 }
 
-// Newest is the newest document as of a revision of the source.
-type Newest struct {
+// LatestDocument is the newest document as of a revision of the source.
+type LatestDocument struct {
 	// At is the revision of the source, which increases with every write.
 	At uint64
 	// Document has revision 0 if the caller already has the newest one.
@@ -62,11 +62,11 @@
 	// when the wait time expires. It returns ErrHistoryGone if they are no longer available.
 	Watch(ctx context.Context, since uint64, wait time.Duration, progress Progress) (Changes, error)
 	// Document reads the newest document and the orders in force.
-	Document(ctx context.Context, progress Progress) (Newest, error)
+	Document(ctx context.Context, progress Progress) (LatestDocument, error)
 	// WatchDocument returns as soon as a document was written or an order was given or withdrawn
 	// after a revision of the source, or when the wait time expires. It returns ErrHistoryGone if
 	// the changes since that revision are no longer available.
-	WatchDocument(ctx context.Context, since uint64, wait time.Duration, progress Progress) (Newest, error)
+	WatchDocument(ctx context.Context, since uint64, wait time.Duration, progress Progress) (LatestDocument, error)
 	Decode(d Document) (route.Config, error)
 }
 
--- a/pkg/discovery/taking_test.go
+++ b/pkg/discovery/taking_test.go
@@ -209,14 +209,14 @@
 // progressInterval is the interval between two progress reports.
 const progressInterval = 50 * time.Millisecond
 
-func (s slowLinkSource) WatchDocument(ctx context.Context, since uint64, wait time.Duration, progress discovery.Progress) (discovery.Newest, error) {
+func (s slowLinkSource) WatchDocument(ctx context.Context, since uint64, wait time.Duration, progress discovery.Progress) (discovery.LatestDocument, error) {
 	newest, err := s.fakeSource.WatchDocument(ctx, since, wait, progress)
 	if err != nil || newest.Document.Revision == 0 {
 		return newest, err
 	}
 	for begin := time.Now(); time.Since(begin) < s.duration; time.Sleep(progressInterval) {
 		if ctx.Err() != nil {
-			return discovery.Newest{}, ctx.Err()
+			return discovery.LatestDocument{}, ctx.Err()
 		}
 		progress(1)
 	}
