--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -183,8 +183,8 @@
 	return p.age
 }
 
-func (p fakePeers) status(state sourceState) discovery.Mark {
-	mark := discovery.Mark{Revision: state.Document.Revision, At: state.Revision, Age: p.stateAge(), Newest: state.Document.Revision}
+func (p fakePeers) status(state sourceState) discovery.DocumentStatus {
+	mark := discovery.DocumentStatus{Revision: state.Document.Revision, At: state.Revision, Age: p.stateAge(), Newest: state.Document.Revision}
 	p.mu.Lock()
 	if !p.silentOnOrders {
 		mark.Evacuations = fleet.Evacuations{Revision: state.Revision, Domains: state.Evacuated}
--- a/pkg/discovery/documents.go
+++ b/pkg/discovery/documents.go
@@ -157,7 +157,7 @@
 	f.logInvalidRollouts(newest.Rollouts)
 	view := f.View()
 	n := documentUpdate{document: newest.Document, at: at, from: "source", orders: orders{since: since, at: newest.At, evacuations: newest.Evacuations, rollouts: newest.Rollouts}}
-	n.mark = Mark{Revision: max(newest.Document.Revision, view.Document.Revision), At: newest.At}
+	n.mark = DocumentStatus{Revision: max(newest.Document.Revision, view.Document.Revision), At: newest.At}
 	if newest.Document.Revision > max(view.Document.Revision, view.rejected) {
 		n.table = f.compile(newest.Document, n.from)
 	}
--- a/pkg/discovery/model_test.go
+++ b/pkg/discovery/model_test.go
@@ -159,7 +159,7 @@
 		n.document = Document{Revision: newest}
 		n.table = m.table(newest)
 	}
-	n.mark = Mark{Revision: max(n.document.Revision, view.Document.Revision), At: m.revision}
+	n.mark = DocumentStatus{Revision: max(n.document.Revision, view.Document.Revision), At: m.revision}
 	n.orders = orders{at: m.revision}
 	if view.ordersRevision() > 0 && !rapid.Bool().Draw(t, "all") {
 		n.orders.since = view.watchRevision()
--- a/pkg/discovery/news.go
+++ b/pkg/discovery/news.go
@@ -80,7 +80,7 @@
 	document Document
 	// table is the compiled document, or nil if it is invalid.
 	table *route.Table
-	mark  Mark
+	mark  DocumentStatus
 	at    time.Time
 	from  string
 	// orders contains the orders returned by the source. Updates from peers carry them in mark.
@@ -133,7 +133,7 @@
 
 // statusUpdate contains a peer's document status as of a time.
 type statusUpdate struct {
-	mark Mark
+	mark DocumentStatus
 	at   time.Time
 }
 
--- a/pkg/discovery/shelf.go
+++ b/pkg/discovery/shelf.go
@@ -43,7 +43,7 @@
 
 // Piece is a piece of the compressed document that an instance has in force.
 type Piece struct {
-	Mark Mark `json:"mark"`
+	Mark DocumentStatus `json:"mark"`
 	// Busy is set if the instance is already serving other peers.
 	Busy bool `json:"busy,omitempty"`
 	// Digest and Size describe the compressed document. Size is 0 if there is no newer one.
--- a/pkg/discovery/source.go
+++ b/pkg/discovery/source.go
@@ -70,9 +70,9 @@
 	Decode(d Document) (route.Config, error)
 }
 
-// Mark describes the document that an instance has in force and how recently it was confirmed to be
+// DocumentStatus describes the document that an instance has in force and how recently it was confirmed to be
 // the newest.
-type Mark struct {
+type DocumentStatus struct {
 	// Revision is the revision of the document; 0 means none.
 	Revision uint64 `json:"revision"`
 	// At is the revision of the source as of which the document was the newest. That was confirmed
@@ -96,8 +96,8 @@
 	// omitted.
 	Same bool `json:"same,omitempty"`
 	// Age is the time since the source confirmed the state, in nanoseconds.
-	Age  time.Duration `json:"age_ns"`
-	Mark Mark          `json:"mark"`
+	Age  time.Duration  `json:"age_ns"`
+	Mark DocumentStatus `json:"mark"`
 }
 
 // Relayed is the response of a relay.
@@ -106,8 +106,8 @@
 	// Gone is set if the changes are no longer available and the endpoints have to be read again.
 	Gone bool `json:"gone,omitempty"`
 	// Age is the time since the source confirmed the endpoints, in nanoseconds.
-	Age  time.Duration `json:"age_ns"`
-	Mark Mark          `json:"mark"`
+	Age  time.Duration  `json:"age_ns"`
+	Mark DocumentStatus `json:"mark"`
 }
 
 // RelaySelect describes the data that the requester already has.
--- a/pkg/discovery/taking.go
+++ b/pkg/discovery/taking.go
@@ -132,7 +132,7 @@
 }
 
 // activateFetched verifies a complete document and puts it in force.
-func (f *Follower) activateFetched(ctx context.Context, peer string, b *partialDocument, mark Mark) bool {
+func (f *Follower) activateFetched(ctx context.Context, peer string, b *partialDocument, mark DocumentStatus) bool {
 	complete := *b
 	*b = partialDocument{}
 	document, err := complete.document.unpack()
--- a/pkg/discovery/view.go
+++ b/pkg/discovery/view.go
@@ -128,8 +128,8 @@
 // status returns the document status sent to other instances. After a newer document was rejected,
 // it does not confirm the current one beyond its own revision, since other instances may accept the
 // newer one.
-func (v *View) status(now time.Time) Mark {
-	m := Mark{Revision: v.Document.Revision, At: v.DocumentAt, Age: v.Age(now), Newest: v.Newest(), Evacuations: v.Evacuations(), Rollouts: v.Rollouts()}
+func (v *View) status(now time.Time) DocumentStatus {
+	m := DocumentStatus{Revision: v.Document.Revision, At: v.DocumentAt, Age: v.Age(now), Newest: v.Newest(), Evacuations: v.Evacuations(), Rollouts: v.Rollouts()}
 	if v.rejected > v.Document.Revision {
 		m.At = v.Document.Revision
 	}
@@ -163,7 +163,7 @@
 }
 
 // confirmDocument records that a mark was valid at a time.
-func (v *View) confirmDocument(m Mark, at time.Time) {
+func (v *View) confirmDocument(m DocumentStatus, at time.Time) {
 	if m.Revision != v.Document.Revision {
 		return
 	}
@@ -175,7 +175,7 @@
 
 // reject records that the newest document as of a mark cannot be put in force. The current document
 // stays in force and is confirmed.
-func (v *View) reject(m Mark, at time.Time) {
+func (v *View) reject(m DocumentStatus, at time.Time) {
 	v.rejected = max(v.rejected, m.Revision)
-	v.confirmDocument(Mark{Revision: v.Document.Revision, At: m.At}, at)
+	v.confirmDocument(DocumentStatus{Revision: v.Document.Revision, At: m.At}, at)
 }
--- a/service/handover/packing_test.go
+++ b/service/handover/packing_test.go
@@ -55,8 +55,8 @@
 	BeforeEach(func() { p = &packing{} })
 
 	many := manyEndpoints(200)
-	known := discovery.Known{State: discovery.State{Revision: 9, Endpoints: many}, Mark: discovery.Mark{Revision: 4}}
-	relayed := discovery.Relayed{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many)}, Mark: discovery.Mark{Revision: 4}}
+	known := discovery.Known{State: discovery.State{Revision: 9, Endpoints: many}, Mark: discovery.DocumentStatus{Revision: 4}}
+	relayed := discovery.Relayed{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many)}, Mark: discovery.DocumentStatus{Revision: 4}}
 
 	It("are all endpoints that a peer knows", func() {
 		read := overWire(p.state(known, true))
