--- a/pkg/discovery/bounds_test.go
+++ b/pkg/discovery/bounds_test.go
@@ -37,7 +37,7 @@
 	calls    atomic.Int64
 }
 
-func (n *followerPeers) State(_ context.Context, newerThan uint64) (discovery.Known, error) {
+func (n *followerPeers) State(_ context.Context, newerThan uint64) (discovery.PeerState, error) {
 	return n.follower.Load().Known(newerThan), nil
 }
 
@@ -62,12 +62,12 @@
 	delay time.Duration
 }
 
-func (s slowPeers) State(ctx context.Context, newerThan uint64) (discovery.Known, error) {
+func (s slowPeers) State(ctx context.Context, newerThan uint64) (discovery.PeerState, error) {
 	select {
 	case <-time.After(s.delay):
 		return s.fakePeers.State(ctx, newerThan)
 	case <-ctx.Done():
-		return discovery.Known{}, ctx.Err()
+		return discovery.PeerState{}, ctx.Err()
 	}
 }
 
@@ -104,7 +104,7 @@
 	asked *atomic.Int64
 }
 
-func (c stateCountingPeers) State(ctx context.Context, newerThan uint64) (discovery.Known, error) {
+func (c stateCountingPeers) State(ctx context.Context, newerThan uint64) (discovery.PeerState, error) {
 	c.asked.Add(1)
 	return c.fakePeers.State(ctx, newerThan)
 }
--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -196,12 +196,12 @@
 	return mark
 }
 
-func (p fakePeers) State(_ context.Context, newerThan uint64) (discovery.Known, error) {
+func (p fakePeers) State(_ context.Context, newerThan uint64) (discovery.PeerState, error) {
 	state, out := p.read()
 	if out {
-		return discovery.Known{}, errUnavailable
+		return discovery.PeerState{}, errUnavailable
 	}
-	known := discovery.Known{Age: p.stateAge(), Mark: p.status(state)}
+	known := discovery.PeerState{Age: p.stateAge(), Mark: p.status(state)}
 	known.State.Revision, known.Same = state.Revision, state.Revision == newerThan
 	if state.Revision > newerThan {
 		known.State.Endpoints = state.Endpoints
--- a/pkg/discovery/follower.go
+++ b/pkg/discovery/follower.go
@@ -98,9 +98,9 @@
 
 // Known returns the local state for a peer that has the endpoints of revision newerThan. The
 // endpoints are omitted unless they are newer.
-func (f *Follower) Known(newerThan uint64) Known {
+func (f *Follower) Known(newerThan uint64) PeerState {
 	view, now := f.View(), f.clock.Now()
-	known := Known{State: State{Revision: view.listed.Revision}, Age: view.FleetAge(now), Mark: view.status(now)}
+	known := PeerState{State: State{Revision: view.listed.Revision}, Age: view.FleetAge(now), Mark: view.status(now)}
 	if known.State.Revision > newerThan {
 		known.State.Endpoints = view.listed.All()
 	}
--- a/pkg/discovery/source.go
+++ b/pkg/discovery/source.go
@@ -89,8 +89,8 @@
 	Rollouts fleet.Rollouts `json:"rollouts,omitzero"`
 }
 
-// Known is the state that a peer returns.
-type Known struct {
+// PeerState is the state that a peer returns.
+type PeerState struct {
 	State State `json:"state"`
 	// Same is set if the requester already has the endpoints of that revision, which are then
 	// omitted.
@@ -127,7 +127,7 @@
 // Peers provides the state of other instances.
 type Peers interface {
 	// State requests the endpoints of a live instance if they are newer than the given revision.
-	State(ctx context.Context, newerThan uint64) (Known, error)
+	State(ctx context.Context, newerThan uint64) (PeerState, error)
 	// Relay requests data that is newer than the requester's. It returns as soon as there is any,
 	// or when the requested wait time expires.
 	Relay(ctx context.Context, relay string, selection RelaySelect) (Relayed, error)
--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -114,7 +114,7 @@
 
 // Known answers StateSelect.
 type Known struct {
-	discovery.Known
+	discovery.PeerState
 	// PackedEndpoints are the endpoints of the state as JSON, compressed with gzip, if they are not told
 	// there.
 	PackedEndpoints []byte `json:"packed_endpoints,omitempty"`
--- a/service/handover/knowledge.go
+++ b/service/handover/knowledge.go
@@ -37,7 +37,7 @@
 var _ discovery.Peers = (*Knowledge)(nil)
 
 // State implements discovery.Peers: it asks one of the peers, another each time.
-func (k *Knowledge) State(ctx context.Context, newerThan uint64) (discovery.Known, error) {
+func (k *Knowledge) State(ctx context.Context, newerThan uint64) (discovery.PeerState, error) {
 	addresses := k.Contacts
 	if live := k.Live(); len(live) > 0 {
 		addresses = nil
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(addresses) == 0 {
-		return discovery.Known{}, problem.New(problem.Unavailable, "name some peers in the settings", "no peer is known")
+		return discovery.PeerState{}, problem.New(problem.Unavailable, "name some peers in the settings", "no peer is known")
 	}
 	var known api.Known
 	err := k.Client.Call(ctx, addresses[rand.IntN(len(addresses))], api.MethodState, api.StateSelect{NewerThan: newerThan, Packs: true}, &known)
@@ -56,7 +56,7 @@
 	for i, e := range known.State.Endpoints {
 		known.State.Endpoints[i] = fleet.Told(e)
 	}
-	return known.Known, err
+	return known.PeerState, err
 }
 
 // Relays implements discovery.Peers: in a failure domain with many instances, the first two of
--- a/service/handover/packing_test.go
+++ b/service/handover/packing_test.go
@@ -55,14 +55,14 @@
 	BeforeEach(func() { p = &packing{} })
 
 	many := manyEndpoints(200)
-	known := discovery.Known{State: discovery.State{Revision: 9, Endpoints: many}, Mark: discovery.DocumentStatus{Revision: 4}}
+	known := discovery.PeerState{State: discovery.State{Revision: 9, Endpoints: many}, Mark: discovery.DocumentStatus{Revision: 4}}
 	relayed := discovery.Relayed{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many)}, Mark: discovery.DocumentStatus{Revision: 4}}
 
 	It("are all endpoints that a peer knows", func() {
 		read := overWire(p.state(known, true))
 		Expect(read.State.Endpoints).To(BeEmpty())
 		Expect(unpack(read.PackedEndpoints, &read.State.Endpoints)).To(Succeed())
-		Expect(read.Known).To(Equal(known))
+		Expect(read.PeerState).To(Equal(known))
 	})
 
 	It("are the changes that a relay tells", func() {
@@ -89,7 +89,7 @@
 	})
 
 	It("are told plainly to a version that does not read them, and where there are few", func() {
-		Expect(p.state(known, false)).To(Equal(api.Known{Known: known}))
+		Expect(p.state(known, false)).To(Equal(api.Known{PeerState: known}))
 		Expect(p.changes(5, relayed, false)).To(Equal(api.Relayed{Relayed: relayed}))
 		few := discovery.Relayed{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many[:packedFrom-1])}}
 		Expect(p.changes(5, few, true)).To(Equal(api.Relayed{Relayed: few}))
