--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -209,11 +209,11 @@
 	return known, nil
 }
 
-func (p fakePeers) Relay(ctx context.Context, _ string, selection discovery.RelaySelect) (discovery.Relayed, error) {
+func (p fakePeers) Relay(ctx context.Context, _ string, selection discovery.RelaySelect) (discovery.RelayResponse, error) {
 	p.set(func(s *fakeSource) { s.relayCalls++ })
 	changes, err := p.Watch(ctx, selection.Since, selection.Wait, nil)
 	state, _ := p.read()
-	return discovery.Relayed{Changes: changes, Age: p.stateAge(), Mark: p.status(state)}, err
+	return discovery.RelayResponse{Changes: changes, Age: p.stateAge(), Mark: p.status(state)}, err
 }
 
 func (p fakePeers) Relays() []string {
@@ -455,13 +455,13 @@
 		By("reading everything again, which drops the kept changes")
 		store.loseHistory(state(6, 4, 3, "a"))
 		Eventually(listed).Should(Equal(uint64(6)))
-		ask := func(since uint64, wait time.Duration) discovery.Relayed {
+		ask := func(since uint64, wait time.Duration) discovery.RelayResponse {
 			return f.Relay(discovery.RelaySelect{Since: since, Document: 4, Wait: wait})
 		}
 		nothing := ask(6, 10*time.Millisecond)
 		Expect(nothing.Changes.Revision).To(Equal(uint64(6)))
 		Expect(nothing.Mark.Revision).To(Equal(uint64(4)))
-		got := make(chan discovery.Relayed, 1)
+		got := make(chan discovery.RelayResponse, 1)
 		go func() { got <- ask(6, 5*time.Second) }()
 		put(store, state(9, 4, 3, "a", "b"))
 		Eventually(got).Should(Receive(HaveField("Changes.Revision", uint64(9))))
--- a/pkg/discovery/evacuating_test.go
+++ b/pkg/discovery/evacuating_test.go
@@ -112,8 +112,8 @@
 		relay := follow(store)
 		Eventually(ready(relay)).Should(HaveExactElements("a", "b"))
 		Eventually(func() bool { return relay.View().Complete() }).Should(BeTrue())
-		ask := func(knows fleet.Evacuations) <-chan discovery.Relayed {
-			got := make(chan discovery.Relayed, 1)
+		ask := func(knows fleet.Evacuations) <-chan discovery.RelayResponse {
+			got := make(chan discovery.RelayResponse, 1)
 			go func() {
 				got <- relay.Relay(discovery.RelaySelect{Since: 100, Document: 100, Evacuations: knows, Wait: 10 * time.Second})
 			}()
@@ -123,7 +123,7 @@
 		got := ask(none)
 		Consistently(got).WithTimeout(100 * time.Millisecond).ShouldNot(Receive())
 		put(store, inDomains(6, "b"))
-		var told discovery.Relayed
+		var told discovery.RelayResponse
 		Eventually(got).WithTimeout(3 * time.Second).Should(Receive(&told))
 		Expect(told.Mark.Evacuations.Domains).To(HaveExactElements("b"))
 		Eventually(ask(none)).Should(Receive(), "a later requester that does not know it yet")
--- a/pkg/discovery/history.go
+++ b/pkg/discovery/history.go
@@ -81,7 +81,7 @@
 
 // Relay responds to an instance that uses this one as a relay. It returns as soon as there is newer
 // data, or when the requested timeout expires.
-func (f *Follower) Relay(request RelaySelect) Relayed {
+func (f *Follower) Relay(request RelaySelect) RelayResponse {
 	until := f.clock.Now().Add(relayRoleTTL)
 	f.relayingUntil.Store(&until)
 	timeout := f.clock.After(request.Wait)
@@ -108,9 +108,9 @@
 }
 
 // relayResponse returns the changes in a view after a revision of the endpoints.
-func (f *Follower) relayResponse(view *View, since uint64) Relayed {
+func (f *Follower) relayResponse(view *View, since uint64) RelayResponse {
 	now := f.clock.Now()
-	response := Relayed{Age: view.FleetAge(now), Mark: view.status(now)}
+	response := RelayResponse{Age: view.FleetAge(now), Mark: view.status(now)}
 	if view.listed.Revision <= since {
 		response.Changes.Revision = view.listed.Revision
 		return response
--- a/pkg/discovery/source.go
+++ b/pkg/discovery/source.go
@@ -100,8 +100,8 @@
 	Mark DocumentStatus `json:"mark"`
 }
 
-// Relayed is the response of a relay.
-type Relayed struct {
+// RelayResponse is the response of a relay.
+type RelayResponse struct {
 	Changes Changes `json:"changes"`
 	// Gone is set if the changes are no longer available and the endpoints have to be read again.
 	Gone bool `json:"gone,omitempty"`
@@ -130,7 +130,7 @@
 	State(ctx context.Context, newerThan uint64) (PeerState, error)
 	// Relay requests data that is newer than the requester's. It returns as soon as there is any,
 	// or when the requested wait time expires.
-	Relay(ctx context.Context, relay string, selection RelaySelect) (Relayed, error)
+	Relay(ctx context.Context, relay string, selection RelaySelect) (RelayResponse, error)
 	// Relays returns the peer addresses of the instances that relay the source's changes to this
 	// one, in order of preference. It returns none if this instance has to watch the source itself.
 	Relays() []string
--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -139,7 +139,7 @@
 
 // Relayed answers RelaySelect.
 type Relayed struct {
-	discovery.Relayed
+	discovery.RelayResponse
 	// PackedChanges are the changes of endpoints as JSON, compressed with gzip, if they are not told
 	// there.
 	PackedChanges []byte `json:"packed_changes,omitempty"`
--- a/service/handover/knowledge.go
+++ b/service/handover/knowledge.go
@@ -119,7 +119,7 @@
 func relayWeight(s membership.Self) uint64 { return xxhash.Sum64String("relay/" + s.Name) }
 
 // Relay implements discovery.Peers.
-func (k *Knowledge) Relay(ctx context.Context, relay string, selection discovery.RelaySelect) (discovery.Relayed, error) {
+func (k *Knowledge) Relay(ctx context.Context, relay string, selection discovery.RelaySelect) (discovery.RelayResponse, error) {
 	var relayed api.Relayed
 	call := api.RelaySelect{Since: selection.Since, Document: selection.Document, Evacuations: selection.Evacuations, Rollouts: selection.Rollouts, WaitMs: selection.Wait.Milliseconds(), Packs: true}
 	err := k.Client.Call(ctx, relay, api.MethodFollow, call, &relayed)
@@ -129,7 +129,7 @@
 	for i, c := range relayed.Changes.Endpoints {
 		relayed.Changes.Endpoints[i].Endpoint = fleet.Told(c.Endpoint)
 	}
-	return relayed.Relayed, err
+	return relayed.RelayResponse, err
 }
 
 // Holders implements discovery.Peers: those of the own failure domain come first, and among
--- a/service/handover/packing.go
+++ b/service/handover/packing.go
@@ -55,8 +55,8 @@
 }
 
 // changes returns the answer with the changes since a revision.
-func (p *packing) changes(since uint64, told discovery.Relayed, packs bool) api.Relayed {
-	answer := api.Relayed{Relayed: told}
+func (p *packing) changes(since uint64, told discovery.RelayResponse, packs bool) api.Relayed {
+	answer := api.Relayed{RelayResponse: told}
 	if !packs || len(told.Changes.Endpoints) < packedFrom {
 		return answer
 	}
--- a/service/handover/packing_test.go
+++ b/service/handover/packing_test.go
@@ -56,7 +56,7 @@
 
 	many := manyEndpoints(200)
 	known := discovery.PeerState{State: discovery.State{Revision: 9, Endpoints: many}, Mark: discovery.DocumentStatus{Revision: 4}}
-	relayed := discovery.Relayed{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many)}, Mark: discovery.DocumentStatus{Revision: 4}}
+	relayed := discovery.RelayResponse{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many)}, Mark: discovery.DocumentStatus{Revision: 4}}
 
 	It("are all endpoints that a peer knows", func() {
 		read := overWire(p.state(known, true))
@@ -69,7 +69,7 @@
 		read := overWire(p.changes(5, relayed, true))
 		Expect(read.Changes.Endpoints).To(BeEmpty())
 		Expect(unpack(read.PackedChanges, &read.Changes.Endpoints)).To(Succeed())
-		Expect(read.Relayed).To(Equal(relayed))
+		Expect(read.RelayResponse).To(Equal(relayed))
 	})
 
 	It("are packed once for all who ask the same, and anew for what differs", func() {
@@ -90,9 +90,9 @@
 
 	It("are told plainly to a version that does not read them, and where there are few", func() {
 		Expect(p.state(known, false)).To(Equal(api.Known{PeerState: known}))
-		Expect(p.changes(5, relayed, false)).To(Equal(api.Relayed{Relayed: relayed}))
-		few := discovery.Relayed{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many[:packedFrom-1])}}
-		Expect(p.changes(5, few, true)).To(Equal(api.Relayed{Relayed: few}))
+		Expect(p.changes(5, relayed, false)).To(Equal(api.Relayed{RelayResponse: relayed}))
+		few := discovery.RelayResponse{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many[:packedFrom-1])}}
+		Expect(p.changes(5, few, true)).To(Equal(api.Relayed{RelayResponse: few}))
 	})
 
 	It("that are damaged are a problem, and nothing that a peer is believed", func() {
