--- a/pkg/discovery/bounds_test.go
+++ b/pkg/discovery/bounds_test.go
@@ -41,7 +41,7 @@
 	return n.follower.Load().Known(newerThan), nil
 }
 
-func (n *followerPeers) Relay(_ context.Context, _ string, s discovery.RelaySelect) (discovery.RelayResponse, error) {
+func (n *followerPeers) Relay(_ context.Context, _ string, s discovery.RelayRequest) (discovery.RelayResponse, error) {
 	n.calls.Add(1)
 	return n.follower.Load().Relay(s), nil
 }
--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -209,7 +209,7 @@
 	return known, nil
 }
 
-func (p fakePeers) Relay(ctx context.Context, _ string, selection discovery.RelaySelect) (discovery.RelayResponse, error) {
+func (p fakePeers) Relay(ctx context.Context, _ string, selection discovery.RelayRequest) (discovery.RelayResponse, error) {
 	p.set(func(s *fakeSource) { s.relayCalls++ })
 	changes, err := p.Watch(ctx, selection.Since, selection.Wait, nil)
 	state, _ := p.read()
@@ -456,7 +456,7 @@
 		store.loseHistory(state(6, 4, 3, "a"))
 		Eventually(listed).Should(Equal(uint64(6)))
 		ask := func(since uint64, wait time.Duration) discovery.RelayResponse {
-			return f.Relay(discovery.RelaySelect{Since: since, Document: 4, Wait: wait})
+			return f.Relay(discovery.RelayRequest{Since: since, Document: 4, Wait: wait})
 		}
 		nothing := ask(6, 10*time.Millisecond)
 		Expect(nothing.Changes.Revision).To(Equal(uint64(6)))
--- a/pkg/discovery/history.go
+++ b/pkg/discovery/history.go
@@ -81,7 +81,7 @@
 
 // Relay responds to an instance that uses this one as a relay. It returns as soon as there is newer
 // data, or when the requested timeout expires.
-func (f *Follower) Relay(request RelaySelect) RelayResponse {
+func (f *Follower) Relay(request RelayRequest) RelayResponse {
 	until := f.clock.Now().Add(relayRoleTTL)
 	f.relayingUntil.Store(&until)
 	timeout := f.clock.After(request.Wait)
@@ -101,7 +101,7 @@
 
 // hasNewerOrders reports whether the view has orders that the requester lacks. Requesters that sent
 // no orders are not woken, since they query the source for them.
-func hasNewerOrders(view *View, requester RelaySelect) bool {
+func hasNewerOrders(view *View, requester RelayRequest) bool {
 	evacuations, rollouts := view.Evacuations(), view.Rollouts()
 	return requester.Evacuations.Known() && evacuations.Revision > requester.Evacuations.Revision && !evacuations.Same(requester.Evacuations) ||
 		requester.Rollouts.Known() && rollouts.Revision > requester.Rollouts.Revision && !rollouts.Same(requester.Rollouts)
--- a/pkg/discovery/source.go
+++ b/pkg/discovery/source.go
@@ -110,8 +110,8 @@
 	Mark DocumentStatus `json:"mark"`
 }
 
-// RelaySelect describes the data that the requester already has.
-type RelaySelect struct {
+// RelayRequest describes the data that the requester already has.
+type RelayRequest struct {
 	// Since is the revision of the endpoints. Document is the highest document revision that the
 	// requester has or knows of.
 	Since    uint64
@@ -130,7 +130,7 @@
 	State(ctx context.Context, newerThan uint64) (PeerState, error)
 	// Relay requests data that is newer than the requester's. It returns as soon as there is any,
 	// or when the requested wait time expires.
-	Relay(ctx context.Context, relay string, selection RelaySelect) (RelayResponse, error)
+	Relay(ctx context.Context, relay string, selection RelayRequest) (RelayResponse, error)
 	// Relays returns the peer addresses of the instances that relay the source's changes to this
 	// one, in order of preference. It returns none if this instance has to watch the source itself.
 	Relays() []string
--- a/pkg/discovery/taking_test.go
+++ b/pkg/discovery/taking_test.go
@@ -237,7 +237,7 @@
 			_ = t.Wait()
 		})
 		relay := func(since uint64) discovery.RelayResponse {
-			return f.Relay(discovery.RelaySelect{Since: since, Document: 4, Wait: 10 * time.Millisecond})
+			return f.Relay(discovery.RelayRequest{Since: since, Document: 4, Wait: 10 * time.Millisecond})
 		}
 		document := func() uint64 { return relay(5).Mark.Revision }
 		Eventually(document).Should(Equal(uint64(4)))
--- a/service/handover/knowledge.go
+++ b/service/handover/knowledge.go
@@ -119,7 +119,7 @@
 func relayWeight(s membership.Self) uint64 { return xxhash.Sum64String("relay/" + s.Name) }
 
 // Relay implements discovery.Peers.
-func (k *Knowledge) Relay(ctx context.Context, relay string, selection discovery.RelaySelect) (discovery.RelayResponse, error) {
+func (k *Knowledge) Relay(ctx context.Context, relay string, selection discovery.RelayRequest) (discovery.RelayResponse, error) {
 	var relayed api.Relayed
 	call := api.RelaySelect{Since: selection.Since, Document: selection.Document, Evacuations: selection.Evacuations, Rollouts: selection.Rollouts, WaitMs: selection.Wait.Milliseconds(), Packs: true}
 	err := k.Client.Call(ctx, relay, api.MethodFollow, call, &relayed)
--- a/service/handover/knowledge_test.go
+++ b/service/handover/knowledge_test.go
@@ -41,7 +41,7 @@
 		Expect(known.State.Endpoints).To(HaveLen(1))
 		Expect(known.State.Endpoints[0]).To(SatisfyAll(HaveField("ID", "a@17"), HaveField("Name()", "a"), HaveField("Slots", 8), HaveField("Address", "10.0.0.1:1")))
 
-		relayed, err := k.Relay(context.Background(), listener.Addr().String(), discovery.RelaySelect{})
+		relayed, err := k.Relay(context.Background(), listener.Addr().String(), discovery.RelayRequest{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(relayed.Changes.Endpoints).To(HaveLen(2))
 		Expect(relayed.Changes.Endpoints[0].Endpoint).To(SatisfyAll(HaveField("ID", "a@18"), HaveField("Name()", "a"), HaveField("Leaving", true)))
