--- a/pkg/discovery/bounds_test.go
+++ b/pkg/discovery/bounds_test.go
@@ -50,7 +50,7 @@
 
 func (*followerPeers) Holders(uint64) []string { return nil }
 
-func (*followerPeers) Piece(context.Context, string, discovery.PieceSelect) (discovery.Piece, error) {
+func (*followerPeers) Piece(context.Context, string, discovery.PieceRequest) (discovery.Piece, error) {
 	return discovery.Piece{}, errUnavailable
 }
 
@@ -77,7 +77,7 @@
 	asked *atomic.Int64
 }
 
-func (c pieceCountingPeers) Piece(ctx context.Context, peer string, s discovery.PieceSelect) (discovery.Piece, error) {
+func (c pieceCountingPeers) Piece(ctx context.Context, peer string, s discovery.PieceRequest) (discovery.Piece, error) {
 	c.asked.Add(1)
 	return c.fakePeers.Piece(ctx, peer, s)
 }
--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -229,7 +229,7 @@
 	return []string{"peer"}
 }
 
-func (p fakePeers) Piece(_ context.Context, _ string, selection discovery.PieceSelect) (discovery.Piece, error) {
+func (p fakePeers) Piece(_ context.Context, _ string, selection discovery.PieceRequest) (discovery.Piece, error) {
 	state, out := p.read()
 	if out {
 		return discovery.Piece{}, errUnavailable
--- a/pkg/discovery/shelf.go
+++ b/pkg/discovery/shelf.go
@@ -26,8 +26,8 @@
 	maxDocumentSize = 64 << 20
 )
 
-// PieceSelect requests a piece of a compressed document.
-type PieceSelect struct {
+// PieceRequest requests a piece of a compressed document.
+type PieceRequest struct {
 	// Asker is the name of the requesting instance.
 	Asker string `json:"asker"`
 	// NewerThan is the revision of the requester's document.
@@ -159,7 +159,7 @@
 }
 
 // Piece responds to a peer that fetches the document in force.
-func (f *Follower) Piece(request PieceSelect) (Piece, error) {
+func (f *Follower) Piece(request PieceRequest) (Piece, error) {
 	view := f.View()
 	piece := Piece{Mark: view.status(f.clock.Now())}
 	if view.Document.Revision <= request.NewerThan || request.MaxAge > 0 && piece.Mark.Age > request.MaxAge {
--- a/pkg/discovery/source.go
+++ b/pkg/discovery/source.go
@@ -138,7 +138,7 @@
 	// in order of preference.
 	Holders(newerThan uint64) []string
 	// Piece requests a piece of the compressed document that a peer has in force.
-	Piece(ctx context.Context, peer string, selection PieceSelect) (Piece, error)
+	Piece(ctx context.Context, peer string, selection PieceRequest) (Piece, error)
 	// Announce notifies the other instances of the document in force.
 	Announce()
 }
--- a/pkg/discovery/taking.go
+++ b/pkg/discovery/taking.go
@@ -123,8 +123,8 @@
 
 // nextPiece returns the request for the next piece. An instance without a document only accepts one
 // that was recently confirmed to be the newest.
-func nextPiece(view *View, b *partialDocument) PieceSelect {
-	request := PieceSelect{NewerThan: view.resolvedRevision(), Digest: b.document.digest, Offset: len(b.document.data)}
+func nextPiece(view *View, b *partialDocument) PieceRequest {
+	request := PieceRequest{NewerThan: view.resolvedRevision(), Digest: b.document.digest, Offset: len(b.document.data)}
 	if view.Document.Revision == 0 {
 		request.MaxAge = confirmationTTL
 	}
--- a/pkg/discovery/taking_test.go
+++ b/pkg/discovery/taking_test.go
@@ -48,7 +48,7 @@
 	return h.names
 }
 
-func (h *pieceHolders) Piece(ctx context.Context, peer string, selection discovery.PieceSelect) (discovery.Piece, error) {
+func (h *pieceHolders) Piece(ctx context.Context, peer string, selection discovery.PieceRequest) (discovery.Piece, error) {
 	whole, err := h.fakePeers.Piece(ctx, peer, selection)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -176,7 +176,7 @@
 		store.set(func(s *fakeSource) { s.unavailable, s.state = false, sourceState{Revision: 9, Document: large} })
 		Eventually(version).Should(Equal(uint64(7)))
 		ask := func(asker, digest string, offset int) discovery.Piece {
-			p, err := f.Piece(discovery.PieceSelect{Asker: asker, NewerThan: 4, Digest: digest, Offset: offset})
+			p, err := f.Piece(discovery.PieceRequest{Asker: asker, NewerThan: 4, Digest: digest, Offset: offset})
 			Expect(err).NotTo(HaveOccurred())
 			return p
 		}
@@ -196,7 +196,7 @@
 		Expect(data).To(Equal(packed))
 		By("serving the next peer when one has finished, and starting from the beginning for one with a part of another document")
 		Expect(ask("d", "of another", 64).Offset).To(BeZero())
-		Expect(f.Piece(discovery.PieceSelect{Asker: "e", NewerThan: 8})).To(HaveField("Size", 0))
+		Expect(f.Piece(discovery.PieceRequest{Asker: "e", NewerThan: 8})).To(HaveField("Size", 0))
 	})
 })
 
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -114,7 +114,7 @@
 		told := h.follower.Relay(discovery.RelayRequest{Since: call.Since, Document: call.Document, Evacuations: call.Evacuations, Rollouts: call.Rollouts, Wait: wait})
 		return h.packing.changes(call.Since, told, call.Packs), nil
 	case api.MethodPiece:
-		call, err := peers.Params[discovery.PieceSelect](method, raw)
+		call, err := peers.Params[discovery.PieceRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
--- a/service/handover/knowledge.go
+++ b/service/handover/knowledge.go
@@ -159,7 +159,7 @@
 }
 
 // Piece implements discovery.Peers.
-func (k *Knowledge) Piece(ctx context.Context, peer string, selection discovery.PieceSelect) (discovery.Piece, error) {
+func (k *Knowledge) Piece(ctx context.Context, peer string, selection discovery.PieceRequest) (discovery.Piece, error) {
 	selection.Asker = k.Self.Name
 	var piece discovery.Piece
 	err := k.Client.Call(ctx, peer, api.MethodPiece, selection, &piece)
