--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -42,7 +42,7 @@
 
 // documentRevision and hearRevision tell and hear which configuration is in force where.
 func (g *Gateway) documentRevision() uint64 { return g.follower.View().Document.Revision }
-func (g *Gateway) hearRevision(r uint64)    { g.follower.Heard(r) }
+func (g *Gateway) hearRevision(r uint64)    { g.follower.ObserveRevision(r) }
 
 // departing and hearDeparting tell and hear which endpoints have said that they leave.
 func (g *Gateway) departing(n int) []string     { return g.follower.Departing(n) }
--- a/pkg/discovery/bounds_test.go
+++ b/pkg/discovery/bounds_test.go
@@ -134,7 +134,7 @@
 		Eventually(inForce(f)).Should(Equal(uint64(4)))
 		Eventually(inForce(other)).Should(Equal(uint64(4)))
 		store.set(func(s *fakeSource) { s.unavailable = true })
-		f.Heard(20)
+		f.ObserveRevision(20)
 		By("the neighbour learning of it from this one")
 		Eventually(func() uint64 { return other.View().Newest() }).WithTimeout(8 * time.Second).Should(Equal(uint64(20)))
 		neither := func() bool { return f.View().Behind(time.Now()) || other.View().Behind(time.Now()) }
@@ -147,7 +147,7 @@
 		f := follow(store, fakePeers{&fakeSource{unavailable: true}})
 		run(f)
 		Eventually(inForce(f)).Should(Equal(uint64(4)))
-		f.Heard(8)
+		f.ObserveRevision(8)
 		lacks := func() bool {
 			_, lacking := f.View().Lacking(time.Now())
 			return lacking
--- a/pkg/discovery/follower.go
+++ b/pkg/discovery/follower.go
@@ -108,9 +108,9 @@
 	return known
 }
 
-// Heard records the document revision that a peer has in force. It does not block: if the queue is
+// ObserveRevision records the document revision that a peer has in force. It does not block: if the queue is
 // full the revision is dropped, and reported again later.
-func (f *Follower) Heard(revision uint64) {
+func (f *Follower) ObserveRevision(revision uint64) {
 	if revision <= f.View().Document.Revision {
 		return
 	}
--- a/pkg/discovery/taking_test.go
+++ b/pkg/discovery/taking_test.go
@@ -113,7 +113,7 @@
 		begin("first", "second")
 		peers.failFrom["first"] = 2 * smallPiece
 		newer()
-		f.Heard(8)
+		f.ObserveRevision(8)
 		Eventually(version).Should(Equal(uint64(7)))
 		Expect(peers.servedOffsets("first")).To(Equal([]int{0, smallPiece}))
 		Expect(peers.servedOffsets("second")[0]).To(Equal(2 * smallPiece))
@@ -123,7 +123,7 @@
 		begin("first", "second")
 		peers.busy["first"] = true
 		newer()
-		f.Heard(8)
+		f.ObserveRevision(8)
 		Eventually(version).Should(Equal(uint64(7)))
 		Expect(peers.servedOffsets("first")).To(BeEmpty())
 	})
@@ -132,7 +132,7 @@
 		begin("first", "second")
 		peers.corrupt["first"] = true
 		newer()
-		f.Heard(8)
+		f.ObserveRevision(8)
 		Eventually(version).Should(Equal(uint64(7)))
 		Expect(peers.servedOffsets("second")[0]).To(BeZero())
 	})
@@ -143,25 +143,25 @@
 		newer()
 		others.set(func(s *fakeSource) { s.relays = []string{"first"} })
 		store.set(func(s *fakeSource) { s.unavailable, s.state = false, state(9, 8, 7) })
-		f.Heard(8)
+		f.ObserveRevision(8)
 		Eventually(version).Should(Equal(uint64(7)))
 	})
 
 	It("is behind once the grace period for a newer document has passed, until its holders are silent", func() {
 		begin("first")
 		behind := func() bool { return f.View().Behind(time.Now()) }
-		f.Heard(8)
+		f.ObserveRevision(8)
 		tooSoon := func() bool {
 			now, view := time.Now(), f.View()
 			lacking, _ := view.Lacking(now)
 			return view.Behind(now) && lacking < discovery.BehindGrace
 		}
 		Consistently(tooSoon).WithTimeout(1200 * time.Millisecond).Should(BeFalse())
-		Eventually(func() bool { f.Heard(8); return behind() }).Should(BeTrue())
+		Eventually(func() bool { f.ObserveRevision(8); return behind() }).Should(BeTrue())
 		By("serving again when nobody announces the newer one")
 		Eventually(behind).Should(BeFalse())
 		By("refusing when it is announced again, and serving once it has arrived")
-		Eventually(func() bool { f.Heard(8); return behind() }).Should(BeTrue())
+		Eventually(func() bool { f.ObserveRevision(8); return behind() }).Should(BeTrue())
 		newer()
 		Eventually(version).Should(Equal(uint64(7)))
 		Expect(behind()).To(BeFalse())
