--- a/pkg/discovery/bounds_test.go
+++ b/pkg/discovery/bounds_test.go
@@ -38,7 +38,7 @@
 }
 
 func (n *followerPeers) State(_ context.Context, newerThan uint64) (discovery.PeerState, error) {
-	return n.follower.Load().Known(newerThan), nil
+	return n.follower.Load().LocalState(newerThan), nil
 }
 
 func (n *followerPeers) Relay(_ context.Context, _ string, s discovery.RelayRequest) (discovery.RelayResponse, error) {
--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -389,7 +389,7 @@
 		Eventually(version).Should(Equal(uint64(7)))
 		Expect(f.View().Fleet.All()).To(HaveLen(1))
 		Expect(f.View().Fleet.MayGetWork("b")).To(BeTrue())
-		Expect(f.Known(0).State.Endpoints).To(BeEmpty())
+		Expect(f.LocalState(0).State.Endpoints).To(BeEmpty())
 	})
 
 	It("treats an endpoint that said so as leaving, whatever its entry says later, and reports it until the source does", func() {
--- a/pkg/discovery/follower.go
+++ b/pkg/discovery/follower.go
@@ -96,9 +96,9 @@
 // View returns the current view.
 func (f *Follower) View() *View { return f.view.Load() }
 
-// Known returns the local state for a peer that has the endpoints of revision newerThan. The
+// LocalState returns the local state for a peer that has the endpoints of revision newerThan. The
 // endpoints are omitted unless they are newer.
-func (f *Follower) Known(newerThan uint64) PeerState {
+func (f *Follower) LocalState(newerThan uint64) PeerState {
 	view, now := f.View(), f.clock.Now()
 	known := PeerState{State: State{Revision: view.listed.Revision}, Age: view.FleetAge(now), Mark: view.status(now)}
 	if known.State.Revision > newerThan {
