--- a/pkg/discovery/rolling.go
+++ b/pkg/discovery/rolling.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// Stand applies the standings of the rollouts that this instance has to follow. It returns once
+// SetStandings applies the standings of the rollouts that this instance has to follow. It returns once
 // they are in the view or ctx is done.
-func (f *Follower) Stand(ctx context.Context, standings fleet.Standings) {
+func (f *Follower) SetStandings(ctx context.Context, standings fleet.Standings) {
 	f.deliver(ctx, standingsUpdate(standings))
 }
 
