--- a/cmd/cobaltcroftd/gateway/notices.go
+++ b/cmd/cobaltcroftd/gateway/notices.go
@@ -44,7 +44,7 @@
 	g.tellUnknown(target, h)
 	n := platform.Notice(uri, status, h)
 	if n.Leaving {
-		g.follower.Depart(discovery.FromResponse, target.ID)
+		g.follower.MarkDeparting(discovery.FromResponse, target.ID)
 	}
 	if n.Rest > 0 {
 		g.rests.Ask(target.ID, n.Rest)
--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -45,8 +45,11 @@
 func (g *Gateway) hearRevision(r uint64)    { g.follower.ObserveRevision(r) }
 
 // departing and hearDeparting tell and hear which endpoints have said that they leave.
-func (g *Gateway) departing(n int) []string     { return g.follower.Departing(n) }
-func (g *Gateway) hearDeparting(lives []string) { g.follower.Depart(discovery.FromPeer, lives...) }
+func (g *Gateway) departing(n int) []string { return g.follower.Departing(n) }
+
+func (g *Gateway) hearDeparting(lives []string) {
+	g.follower.MarkDeparting(discovery.FromPeer, lives...)
+}
 
 // tellLimits and hearLimits tell and hear which endpoints take only so much from all instances together.
 func (g *Gateway) tellLimits(n int) []throttle.Limit  { return g.limited.Tell(n) }
--- a/pkg/discovery/departing.go
+++ b/pkg/discovery/departing.go
@@ -61,9 +61,9 @@
 	return waiting
 }
 
-// Depart records that endpoints have announced their departure, in a response to this instance or
+// MarkDeparting records that endpoints have announced their departure, in a response to this instance or
 // through a peer. It does not block.
-func (f *Follower) Depart(from DepartureSource, ids ...string) {
+func (f *Follower) MarkDeparting(from DepartureSource, ids ...string) {
 	known := f.View().listed
 	var unknown []string
 	for _, id := range ids {
--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -395,7 +395,7 @@
 	It("treats an endpoint that said so as leaving, whatever its entry says later, and reports it until the source does", func() {
 		put(store, state(5, 4, 3, "a", "b"))
 		Eventually(ready).Should(Equal(2))
-		f.Depart(discovery.FromResponse, "a", "unknown")
+		f.MarkDeparting(discovery.FromResponse, "a", "unknown")
 		Eventually(ready).Should(Equal(1))
 		Expect(f.Departing(8)).To(Equal([]string{"a"}))
 		By("an entry that changes, is read again, or expires in an outage and returns")
