--- a/pkg/discovery/bounds_test.go
+++ b/pkg/discovery/bounds_test.go
@@ -136,7 +136,7 @@
 		store.set(func(s *fakeSource) { s.unavailable = true })
 		f.ObserveRevision(20)
 		By("the neighbour learning of it from this one")
-		Eventually(func() uint64 { return other.View().Newest() }).WithTimeout(8 * time.Second).Should(Equal(uint64(20)))
+		Eventually(func() uint64 { return other.View().NewestRevision() }).WithTimeout(8 * time.Second).Should(Equal(uint64(20)))
 		neither := func() bool { return f.View().Behind(time.Now()) || other.View().Behind(time.Now()) }
 		Eventually(neither).WithTimeout(8 * time.Second).Should(BeFalse())
 		Consistently(neither).WithTimeout(2 * time.Second).Should(BeFalse())
--- a/pkg/discovery/history.go
+++ b/pkg/discovery/history.go
@@ -88,7 +88,7 @@
 	for {
 		changed := f.history.changed()
 		view := f.View()
-		if view.listed.Revision > request.Since || view.Newest() > request.Document || hasNewerOrders(view, request) {
+		if view.listed.Revision > request.Since || view.NewestRevision() > request.Document || hasNewerOrders(view, request) {
 			return f.relayResponse(view, request.Since)
 		}
 		select {
--- a/pkg/discovery/view.go
+++ b/pkg/discovery/view.go
@@ -99,8 +99,8 @@
 	return now.Sub(confirmed)
 }
 
-// Newest returns the highest document revision that this instance knows of.
-func (v *View) Newest() uint64 { return max(v.Document.Revision, v.announced.newest) }
+// NewestRevision returns the highest document revision that this instance knows of.
+func (v *View) NewestRevision() uint64 { return max(v.Document.Revision, v.announced.newest) }
 
 // resolvedRevision returns the revision of the source up to which every document is either in
 // force, superseded or rejected.
@@ -129,7 +129,7 @@
 // it does not confirm the current one beyond its own revision, since other instances may accept the
 // newer one.
 func (v *View) status(now time.Time) DocumentStatus {
-	m := DocumentStatus{Revision: v.Document.Revision, At: v.DocumentAt, Age: v.Age(now), Newest: v.Newest(), Evacuations: v.Evacuations(), Rollouts: v.Rollouts()}
+	m := DocumentStatus{Revision: v.Document.Revision, At: v.DocumentAt, Age: v.Age(now), Newest: v.NewestRevision(), Evacuations: v.Evacuations(), Rollouts: v.Rollouts()}
 	if v.rejected > v.Document.Revision {
 		m.At = v.Document.Revision
 	}
