--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -201,7 +201,7 @@
 	if out {
 		return discovery.PeerState{}, errUnavailable
 	}
-	known := discovery.PeerState{Age: p.stateAge(), Mark: p.status(state)}
+	known := discovery.PeerState{Age: p.stateAge(), Status: p.status(state)}
 	known.State.Revision, known.Same = state.Revision, state.Revision == newerThan
 	if state.Revision > newerThan {
 		known.State.Endpoints = state.Endpoints
--- a/pkg/discovery/endpoints.go
+++ b/pkg/discovery/endpoints.go
@@ -241,5 +241,5 @@
 	case known.Age <= confirmationTTL || !view.Confirmed.IsZero():
 		f.deliver(ctx, endpointsUpdate{state: known.State, at: confirmed, heard: confirmed})
 	}
-	f.deliver(ctx, statusUpdate{mark: known.Mark, at: at.Add(-known.Mark.Age)})
+	f.deliver(ctx, statusUpdate{mark: known.Status, at: at.Add(-known.Status.Age)})
 }
--- a/pkg/discovery/follower.go
+++ b/pkg/discovery/follower.go
@@ -100,7 +100,7 @@
 // endpoints are omitted unless they are newer.
 func (f *Follower) LocalState(newerThan uint64) PeerState {
 	view, now := f.View(), f.clock.Now()
-	known := PeerState{State: State{Revision: view.listed.Revision}, Age: view.FleetAge(now), Mark: view.status(now)}
+	known := PeerState{State: State{Revision: view.listed.Revision}, Age: view.FleetAge(now), Status: view.status(now)}
 	if known.State.Revision > newerThan {
 		known.State.Endpoints = view.listed.All()
 	}
--- a/pkg/discovery/source.go
+++ b/pkg/discovery/source.go
@@ -96,8 +96,8 @@
 	// omitted.
 	Same bool `json:"same,omitempty"`
 	// Age is the time since the source confirmed the state, in nanoseconds.
-	Age  time.Duration  `json:"age_ns"`
-	Mark DocumentStatus `json:"mark"`
+	Age    time.Duration  `json:"age_ns"`
+	Status DocumentStatus `json:"mark"`
 }
 
 // RelayResponse is the response of a relay.
