--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -213,7 +213,7 @@
 	p.set(func(s *fakeSource) { s.relayCalls++ })
 	changes, err := p.Watch(ctx, selection.Since, selection.Wait, nil)
 	state, _ := p.read()
-	return discovery.RelayResponse{Changes: changes, Age: p.stateAge(), Mark: p.status(state)}, err
+	return discovery.RelayResponse{Changes: changes, Age: p.stateAge(), Status: p.status(state)}, err
 }
 
 func (p fakePeers) Relays() []string {
@@ -460,7 +460,7 @@
 		}
 		nothing := ask(6, 10*time.Millisecond)
 		Expect(nothing.Changes.Revision).To(Equal(uint64(6)))
-		Expect(nothing.Mark.Revision).To(Equal(uint64(4)))
+		Expect(nothing.Status.Revision).To(Equal(uint64(4)))
 		got := make(chan discovery.RelayResponse, 1)
 		go func() { got <- ask(6, 5*time.Second) }()
 		put(store, state(9, 4, 3, "a", "b"))
@@ -468,7 +468,7 @@
 		go func() { got <- ask(9, 5*time.Second) }()
 		put(store, state(11, 10, 7, "a", "b"))
 		Eventually(got).Should(Receive(Or(HaveField("Mark.Revision", uint64(10)), HaveField("Changes.Revision", uint64(11)))))
-		Eventually(func() uint64 { return ask(11, 0).Mark.Revision }).Should(Equal(uint64(10)))
+		Eventually(func() uint64 { return ask(11, 0).Status.Revision }).Should(Equal(uint64(10)))
 		Eventually(listed).Should(Equal(uint64(11)))
 		By("sending a requester whose revision lies between two entries all that it may lack")
 		Expect(ask(7, time.Second)).To(SatisfyAll(HaveField("Gone", false), HaveField("Changes.Revision", uint64(11))))
--- a/pkg/discovery/endpoints.go
+++ b/pkg/discovery/endpoints.go
@@ -188,7 +188,7 @@
 	cancel()
 	now := f.clock.Now()
 	if err == nil {
-		f.deliver(ctx, statusUpdate{mark: response.Mark, at: now.Add(-response.Mark.Age)})
+		f.deliver(ctx, statusUpdate{mark: response.Status, at: now.Add(-response.Status.Age)})
 	}
 	if err == nil && response.Gone {
 		err = ErrHistoryGone
@@ -199,7 +199,7 @@
 	}
 	confirmed := now.Add(-response.Age)
 	f.deliver(ctx, changesUpdate{changes: response.Changes, since: request.Since, at: confirmed, heard: confirmed})
-	if response.Mark.Age <= maxStatusAge {
+	if response.Status.Age <= maxStatusAge {
 		f.lastRelayed.Store(&now)
 	}
 	return true
--- a/pkg/discovery/history.go
+++ b/pkg/discovery/history.go
@@ -110,7 +110,7 @@
 // relayResponse returns the changes in a view after a revision of the endpoints.
 func (f *Follower) relayResponse(view *View, since uint64) RelayResponse {
 	now := f.clock.Now()
-	response := RelayResponse{Age: view.FleetAge(now), Mark: view.status(now)}
+	response := RelayResponse{Age: view.FleetAge(now), Status: view.status(now)}
 	if view.listed.Revision <= since {
 		response.Changes.Revision = view.listed.Revision
 		return response
--- a/pkg/discovery/source.go
+++ b/pkg/discovery/source.go
@@ -106,8 +106,8 @@
 	// Gone is set if the changes are no longer available and the endpoints have to be read again.
 	Gone bool `json:"gone,omitempty"`
 	// Age is the time since the source confirmed the endpoints, in nanoseconds.
-	Age  time.Duration  `json:"age_ns"`
-	Mark DocumentStatus `json:"mark"`
+	Age    time.Duration  `json:"age_ns"`
+	Status DocumentStatus `json:"mark"`
 }
 
 // RelayRequest describes the data that the requester already has.
--- a/pkg/discovery/taking_test.go
+++ b/pkg/discovery/taking_test.go
@@ -239,7 +239,7 @@
 		relay := func(since uint64) discovery.RelayResponse {
 			return f.Relay(discovery.RelayRequest{Since: since, Document: 4, Wait: 10 * time.Millisecond})
 		}
-		document := func() uint64 { return relay(5).Mark.Revision }
+		document := func() uint64 { return relay(5).Status.Revision }
 		Eventually(document).Should(Equal(uint64(4)))
 		store.set(func(s *fakeSource) { s.state = state(9, 8, 7, "a", "b") })
 		Eventually(func() uint64 { return relay(5).Changes.Revision }).Should(Equal(uint64(9)))
--- a/service/handover/packing_test.go
+++ b/service/handover/packing_test.go
@@ -56,7 +56,7 @@
 
 	many := manyEndpoints(200)
 	known := discovery.PeerState{State: discovery.State{Revision: 9, Endpoints: many}, Status: discovery.DocumentStatus{Revision: 4}}
-	relayed := discovery.RelayResponse{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many)}, Mark: discovery.DocumentStatus{Revision: 4}}
+	relayed := discovery.RelayResponse{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many)}, Status: discovery.DocumentStatus{Revision: 4}}
 
 	It("are all endpoints that a peer knows", func() {
 		read := overWire(p.state(known, true))
