--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -234,7 +234,7 @@
 	if out {
 		return discovery.Piece{}, errUnavailable
 	}
-	piece := discovery.Piece{Mark: p.status(state)}
+	piece := discovery.Piece{Status: p.status(state)}
 	if state.Document.Revision <= selection.NewerThan || selection.MaxAge > 0 && p.stateAge() > selection.MaxAge {
 		return piece, nil
 	}
--- a/pkg/discovery/shelf.go
+++ b/pkg/discovery/shelf.go
@@ -43,7 +43,7 @@
 
 // Piece is a piece of the compressed document that an instance has in force.
 type Piece struct {
-	Mark DocumentStatus `json:"mark"`
+	Status DocumentStatus `json:"mark"`
 	// Busy is set if the instance is already serving other peers.
 	Busy bool `json:"busy,omitempty"`
 	// Digest and Size describe the compressed document. Size is 0 if there is no newer one.
@@ -161,8 +161,8 @@
 // Piece responds to a peer that fetches the document in force.
 func (f *Follower) Piece(request PieceRequest) (Piece, error) {
 	view := f.View()
-	piece := Piece{Mark: view.status(f.clock.Now())}
-	if view.Document.Revision <= request.NewerThan || request.MaxAge > 0 && piece.Mark.Age > request.MaxAge {
+	piece := Piece{Status: view.status(f.clock.Now())}
+	if view.Document.Revision <= request.NewerThan || request.MaxAge > 0 && piece.Status.Age > request.MaxAge {
 		return piece, nil
 	}
 	if !f.documentCache.admit(request.Asker) {
--- a/pkg/discovery/taking.go
+++ b/pkg/discovery/taking.go
@@ -43,7 +43,7 @@
 			return
 		}
 	}
-	b.document.revision = p.Mark.Revision
+	b.document.revision = p.Status.Revision
 	b.document.data = append(b.document.data, p.Data...)
 	b.at = at
 }
@@ -116,7 +116,7 @@
 		}
 		b.add(piece, at)
 		if b.complete() {
-			return f.activateFetched(ctx, peer, b, piece.Mark)
+			return f.activateFetched(ctx, peer, b, piece.Status)
 		}
 	}
 }
--- a/pkg/discovery/taking_test.go
+++ b/pkg/discovery/taking_test.go
@@ -57,7 +57,7 @@
 		return whole, err
 	}
 	if h.busy[peer] {
-		return discovery.Piece{Mark: whole.Mark, Busy: true}, nil
+		return discovery.Piece{Status: whole.Status, Busy: true}, nil
 	}
 	piece := whole
 	if selection.Digest == whole.Digest && selection.Offset < whole.Size {
