--- a/pkg/fleet/life.go
+++ b/pkg/fleet/life.go
@@ -21,10 +21,10 @@
 	return e
 }
 
-// Told restores the Entry of an endpoint that was received from another instance. Instances without
+// RestoreEntry restores the Entry of an endpoint that was received from another instance. Instances without
 // support for incarnations forward the ID but drop the Entry; using that ID as the name would
 // address the wrong endpoint. Instances that support incarnations always send both.
-func Told(e Endpoint) Endpoint {
+func RestoreEntry(e Endpoint) Endpoint {
 	if at := strings.LastIndex(e.ID, incarnationSeparator); e.Entry == "" && at > 0 {
 		e.Entry = e.ID[:at]
 	}
--- a/pkg/fleet/life_test.go
+++ b/pkg/fleet/life_test.go
@@ -16,7 +16,7 @@
 	received := func(text string) fleet.Endpoint {
 		var e fleet.Endpoint
 		Expect(json.Unmarshal([]byte(text), &e)).To(Succeed())
-		return fleet.Told(e)
+		return fleet.RestoreEntry(e)
 	}
 
 	DescribeTable("has the name of its endpoint",
--- a/service/handover/knowledge.go
+++ b/service/handover/knowledge.go
@@ -54,7 +54,7 @@
 		err = unpack(known.PackedEndpoints, &known.State.Endpoints)
 	}
 	for i, e := range known.State.Endpoints {
-		known.State.Endpoints[i] = fleet.Told(e)
+		known.State.Endpoints[i] = fleet.RestoreEntry(e)
 	}
 	return known.PeerState, err
 }
@@ -127,7 +127,7 @@
 		err = unpack(relayed.PackedChanges, &relayed.Changes.Endpoints)
 	}
 	for i, c := range relayed.Changes.Endpoints {
-		relayed.Changes.Endpoints[i].Endpoint = fleet.Told(c.Endpoint)
+		relayed.Changes.Endpoints[i].Endpoint = fleet.RestoreEntry(c.Endpoint)
 	}
 	return relayed.RelayResponse, err
 }
