--- a/pkg/fleet/life.go
+++ b/pkg/fleet/life.go
@@ -8,9 +8,9 @@
 // incarnationSeparator separates the endpoint's name from its start time in an ID.
 const incarnationSeparator = "@"
 
-// Life returns the endpoint with the ID of the incarnation that started at startMs, in Unix
+// WithIncarnation returns the endpoint with the ID of the incarnation that started at startMs, in Unix
 // milliseconds. If startMs is 0 the start time is unknown, and the ID is the name.
-func (e Endpoint) Life(name string, startMs int64) Endpoint {
+func (e Endpoint) WithIncarnation(name string, startMs int64) Endpoint {
 	e.ID, e.Entry = name, ""
 	if startMs > 0 {
 		e.ID = name + incarnationSeparator + strconv.FormatInt(startMs, 10)
--- a/pkg/fleet/life_test.go
+++ b/pkg/fleet/life_test.go
@@ -36,7 +36,7 @@
 	It("is encoded so that an earlier version can forward it", func() {
 		for _, name := range []string{"a", "a@b"} {
 			for _, born := range []int64{0, 17} {
-				e := fleet.Endpoint{Service: "s"}.Life(name, born)
+				e := fleet.Endpoint{Service: "s"}.WithIncarnation(name, born)
 				data, err := json.Marshal(e)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(received(string(data))).To(Equal(e))
