--- a/pkg/discovery/rolling.go
+++ b/pkg/discovery/rolling.go
@@ -25,7 +25,7 @@
 func (f *Follower) updateRollouts(view *View, r fleet.Rollouts) bool {
 	before := view.Rollouts()
 	// A newer revision alone may admit endpoints that were withheld until the orders were known.
-	view.updateSnapshots(func(s *fleet.Snapshot) *fleet.Snapshot { return s.Roll(r) })
+	view.updateSnapshots(func(s *fleet.Snapshot) *fleet.Snapshot { return s.WithRollouts(r) })
 	after := view.Rollouts()
 	if after.Same(before) {
 		return false
--- a/pkg/fleet/change_bench_test.go
+++ b/pkg/fleet/change_bench_test.go
@@ -29,7 +29,7 @@
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{1_000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := fleet.New(1, manyEndpoints(n)).Roll(fleet.Rollouts{Revision: 1})
+			s := fleet.New(1, manyEndpoints(n)).WithRollouts(fleet.Rollouts{Revision: 1})
 			e := manyEndpoints(n)[n/2]
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/pkg/fleet/editing_test.go
+++ b/pkg/fleet/editing_test.go
@@ -60,7 +60,7 @@
 				"an order": func(t *rapid.T) {
 					revision++
 					order := fleet.RolloutOrder{Rollout: fleet.Rollout{Service: "s", Version: "v2", Revision: revision}, Ended: rapid.Bool().Draw(t, "ended")}
-					s = s.Roll(s.Rollouts().With(revision, []fleet.RolloutOrder{order}))
+					s = s.WithRollouts(s.Rollouts().With(revision, []fleet.RolloutOrder{order}))
 				},
 				"a standing": func(t *rapid.T) {
 					if order, found := s.Rollouts().Of("s"); found {
--- a/pkg/fleet/versions.go
+++ b/pkg/fleet/versions.go
@@ -73,8 +73,8 @@
 	return grown
 }
 
-// Roll returns the snapshot with the given rollouts, or s if it has newer ones.
-func (s *Snapshot) Roll(r Rollouts) *Snapshot {
+// WithRollouts returns the snapshot with the given rollouts, or s if it has newer ones.
+func (s *Snapshot) WithRollouts(r Rollouts) *Snapshot {
 	if r.Revision <= s.rollouts.Revision {
 		return s
 	}
--- a/pkg/fleet/versions_test.go
+++ b/pkg/fleet/versions_test.go
@@ -33,7 +33,7 @@
 	}
 
 	BeforeEach(func() {
-		s = fleet.New(1, []fleet.Endpoint{endpoint("a", "v1"), endpoint("b", "v1")}).Roll(ordered(4))
+		s = fleet.New(1, []fleet.Endpoint{endpoint("a", "v1"), endpoint("b", "v1")}).WithRollouts(ordered(4))
 		s = s.With(7, []fleet.Change{{Endpoint: endpoint("x", "v2")}, {Endpoint: endpoint("y", "v2")}})
 	})
 
@@ -41,20 +41,20 @@
 		Expect(ready()).To(HaveExactElements("a", "b"))
 		Expect(s.Barred("x")).To(BeTrue())
 		Expect(s.MayGetWork("x")).To(BeFalse())
-		s = s.Roll(ordered(6))
+		s = s.WithRollouts(ordered(6))
 		Expect(ready()).To(HaveExactElements("a", "b"))
-		s = s.Roll(ordered(7))
+		s = s.WithRollouts(ordered(7))
 		Expect(ready()).To(HaveExactElements("a", "b", "x", "y"))
 	})
 
 	It("are all used by an instance that starts without any order", func() {
-		s = fleet.New(9, []fleet.Endpoint{endpoint("a", "v1"), endpoint("x", "v2")}).Roll(ordered(8))
+		s = fleet.New(9, []fleet.Endpoint{endpoint("a", "v1"), endpoint("x", "v2")}).WithRollouts(ordered(8))
 		Expect(ready()).To(HaveExactElements("a", "x"))
 	})
 
 	DescribeTable("of an order get the traffic that its standing allows",
 		func(exposure fleet.Exposure, used, trial, barred []string) {
-			s = s.Roll(ordered(8, toV2))
+			s = s.WithRollouts(ordered(8, toV2))
 			stand(exposure, 0.5)
 			Expect(ready()).To(Equal(used))
 			var tried []string
@@ -77,34 +77,34 @@
 
 	It("that are refuted get no work even if no other is left, and those with all traffic before the order keep it", func() {
 		gone := []fleet.Change{{Endpoint: endpoint("a", ""), Gone: true}, {Endpoint: endpoint("b", ""), Gone: true}}
-		s = s.Roll(ordered(8, toV2)).With(9, gone)
+		s = s.WithRollouts(ordered(8, toV2)).With(9, gone)
 		Expect(ready()).To(BeEmpty())
 		stand(fleet.Refuted, 0)
 		Expect(ready()).To(BeEmpty())
-		s = fleet.New(1, []fleet.Endpoint{endpoint("a", "v2")}).Roll(ordered(8, toV2))
+		s = fleet.New(1, []fleet.Endpoint{endpoint("a", "v2")}).WithRollouts(ordered(8, toV2))
 		Expect(ready()).To(HaveExactElements("a"))
 	})
 
 	It("that are proven fall back to the others when they have no endpoints left", func() {
-		s = s.Roll(ordered(8, toV2))
+		s = s.WithRollouts(ordered(8, toV2))
 		stand(fleet.Proven, 0)
 		s = s.With(9, []fleet.Change{{Endpoint: endpoint("x", ""), Gone: true}, {Endpoint: endpoint("y", ""), Gone: true}})
 		Expect(ready()).To(HaveExactElements("a", "b"))
 	})
 
 	It("whose order is withdrawn or replaced before they are proven get no work while others have endpoints", func() {
-		s = s.Roll(ordered(8, toV2)).Roll(ordered(9))
+		s = s.WithRollouts(ordered(8, toV2)).WithRollouts(ordered(9))
 		Expect(ready()).To(HaveExactElements("a", "b"))
-		s = s.Roll(ordered(10, fleet.Rollout{Service: "s", Version: "v3", Revision: 10}))
+		s = s.WithRollouts(ordered(10, fleet.Rollout{Service: "s", Version: "v3", Revision: 10}))
 		Expect(ready()).To(HaveExactElements("a", "b"))
 		s = s.With(11, []fleet.Change{{Endpoint: endpoint("a", ""), Gone: true}, {Endpoint: endpoint("b", ""), Gone: true}})
 		Expect(ready()).To(HaveExactElements("x", "y"), "no other version has endpoints")
 	})
 
 	It("whose order is withdrawn after they were proven are used", func() {
-		s = s.Roll(ordered(8, toV2))
+		s = s.WithRollouts(ordered(8, toV2))
 		stand(fleet.Proven, 0)
-		s = s.Roll(ordered(9))
+		s = s.WithRollouts(ordered(9))
 		Expect(ready()).To(HaveExactElements("a", "b", "x", "y"))
 	})
 
@@ -122,7 +122,7 @@
 
 	It("of an order that is not proven are never ready, in whatever sequence entries, orders and standings arrive", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			all := fleet.New(1, []fleet.Endpoint{endpoint("a", "v1")}).Roll(ordered(1))
+			all := fleet.New(1, []fleet.Endpoint{endpoint("a", "v1")}).WithRollouts(ordered(1))
 			revision := uint64(1)
 			t.Repeat(map[string]func(*rapid.T){
 				"an entry": func(t *rapid.T) {
@@ -136,9 +136,9 @@
 				},
 				"an order": func(*rapid.T) {
 					revision++
-					all = all.Roll(ordered(revision, fleet.Rollout{Service: "s", Version: "v2", Revision: revision}))
+					all = all.WithRollouts(ordered(revision, fleet.Rollout{Service: "s", Version: "v2", Revision: revision}))
 				},
-				"its end": func(*rapid.T) { revision++; all = all.Roll(ordered(revision)) },
+				"its end": func(*rapid.T) { revision++; all = all.WithRollouts(ordered(revision)) },
 				"a standing": func(t *rapid.T) {
 					if o, found := all.Rollouts().Of("s"); found {
 						exposure := rapid.SampledFrom([]fleet.Exposure{fleet.Withheld, fleet.Tried, fleet.Refuted}).Draw(t, "exposure")
--- a/pkg/rollout/model_test.go
+++ b/pkg/rollout/model_test.go
@@ -115,7 +115,7 @@
 
 func (m *model) start(name string, incarnation uint64) *node {
 	i := &node{model: m, name: name, incarnation: incarnation}
-	i.snapshot = fleet.New(1, endpoints("v1", 6)).Roll(fleet.Rollouts{Revision: 4})
+	i.snapshot = fleet.New(1, endpoints("v1", 6)).WithRollouts(fleet.Rollouts{Revision: 4})
 	i.keeper = rollout.NewKeeper(i, i, i, share, m.clock, logging.Discard().For("rollout"))
 	i.keeper.AtOnce()
 	if m.ordered.Known() {
@@ -133,7 +133,7 @@
 }
 
 func (i *node) order() {
-	i.snapshot = i.snapshot.Roll(i.ordered).Replace(orderAt+1, append(endpoints("v1", 6), endpoints("v2", 6)...))
+	i.snapshot = i.snapshot.WithRollouts(i.ordered).Replace(orderAt+1, append(endpoints("v1", 6), endpoints("v2", 6)...))
 }
 
 func (m *model) order() {
@@ -419,11 +419,11 @@
 		m := newModel(1, 4)
 		m.bad = behaviour{only: -1}
 		for _, i := range m.instances {
-			i.snapshot = fleet.New(1, endpoints("v2", 6)).Roll(fleet.Rollouts{Revision: 4})
+			i.snapshot = fleet.New(1, endpoints("v2", 6)).WithRollouts(fleet.Rollouts{Revision: 4})
 		}
 		m.ordered = fleet.Rollouts{Revision: orderAt, Orders: []fleet.Rollout{{Service: "s", Version: "v2", OverMs: over.Milliseconds(), Revision: orderAt}}}
 		for _, i := range m.instances {
-			i.snapshot = i.snapshot.Roll(m.ordered)
+			i.snapshot = i.snapshot.WithRollouts(m.ordered)
 		}
 		m.play(5*time.Second, 20)
 		Expect(m.record.State).To(Equal(rollout.Completed))
