--- a/pkg/discovery/evacuating.go
+++ b/pkg/discovery/evacuating.go
@@ -34,7 +34,7 @@
 // older than the view's are ignored.
 func (f *Follower) updateEvacuations(view *View, e fleet.Evacuations) bool {
 	before := view.Evacuations()
-	view.listed = view.listed.Evacuate(e)
+	view.listed = view.listed.WithEvacuations(e)
 	updated := view.Evacuations()
 	if updated.Same(before) {
 		return false
--- a/pkg/fleet/editing_test.go
+++ b/pkg/fleet/editing_test.go
@@ -50,7 +50,7 @@
 				"an evacuation": func(t *rapid.T) {
 					revision++
 					evacuated = evacuated.With(revision, []fleet.Evacuation{{Domain: domain.Draw(t, "domain"), Ended: rapid.Bool().Draw(t, "ended")}})
-					s = s.Evacuate(evacuated)
+					s = s.WithEvacuations(evacuated)
 				},
 				"a departure": func(t *rapid.T) {
 					departed = maps.Clone(departed)
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -159,8 +159,8 @@
 	return false
 }
 
-// Evacuate returns the snapshot with the given evacuations, or s if it has newer ones.
-func (s *Snapshot) Evacuate(e Evacuations) *Snapshot {
+// WithEvacuations returns the snapshot with the given evacuations, or s if it has newer ones.
+func (s *Snapshot) WithEvacuations(e Evacuations) *Snapshot {
 	if e.Revision <= s.evacuations.Revision {
 		return s
 	}
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -63,19 +63,19 @@
 	It("excludes the endpoints of evacuated failure domains until they are restored", func() {
 		s := fleet.New(3, endpoints)
 		Expect(ids(s)).To(HaveExactElements("a1", "b1"))
-		s = s.Evacuate(orders(4, "a"))
+		s = s.WithEvacuations(orders(4, "a"))
 		Expect(ids(s)).To(HaveExactElements("b1"))
 		Expect(s.MayGetWork("a1")).To(BeFalse())
 		_, known := s.Endpoint("a1")
 		Expect(known).To(BeTrue(), "running work is not affected")
-		s = s.Evacuate(orders(5))
+		s = s.WithEvacuations(orders(5))
 		Expect(ids(s)).To(HaveExactElements("a1", "b1"))
 		Expect(s.Ready("s")[0].Returned).To(Equal(uint64(5)))
 		Expect(s.Ready("s")[1].Returned).To(BeZero())
 	})
 
 	It("keeps evacuations when endpoints change or are replaced", func() {
-		s := fleet.New(3, endpoints).Evacuate(orders(4, "a"))
+		s := fleet.New(3, endpoints).WithEvacuations(orders(4, "a"))
 		s = s.With(6, []fleet.Change{{Endpoint: fleet.Endpoint{ID: "a3", Service: "s", FailureDomain: "a"}}})
 		Expect(ids(s)).To(HaveExactElements("b1"))
 		s = s.Replace(7, endpoints)
@@ -84,21 +84,21 @@
 	})
 
 	It("ignores older evacuations", func() {
-		s := fleet.New(3, endpoints).Evacuate(orders(6, "a"))
-		Expect(ids(s.Evacuate(orders(5)))).To(HaveExactElements("b1"))
-		Expect(ids(s.Evacuate(orders(6)))).To(HaveExactElements("b1"))
-		Expect(ids(s.Evacuate(orders(7)))).To(HaveExactElements("a1", "b1"))
+		s := fleet.New(3, endpoints).WithEvacuations(orders(6, "a"))
+		Expect(ids(s.WithEvacuations(orders(5)))).To(HaveExactElements("b1"))
+		Expect(ids(s.WithEvacuations(orders(6)))).To(HaveExactElements("b1"))
+		Expect(ids(s.WithEvacuations(orders(7)))).To(HaveExactElements("a1", "b1"))
 	})
 
 	It("has no ready endpoint when all failure domains are evacuated, and ignores an unknown failure domain", func() {
 		s := fleet.New(3, endpoints)
-		Expect(ids(s.Evacuate(orders(4, "a", "b")))).To(BeEmpty())
-		Expect(ids(s.Evacuate(orders(4, "z")))).To(HaveExactElements("a1", "b1"))
+		Expect(ids(s.WithEvacuations(orders(4, "a", "b")))).To(BeEmpty())
+		Expect(ids(s.WithEvacuations(orders(4, "z")))).To(HaveExactElements("a1", "b1"))
 	})
 
 	It("shares the endpoints after an update without changes", func() {
-		s := fleet.New(3, endpoints).Evacuate(orders(4, "a"))
-		Expect(&s.Evacuate(orders(5, "a")).Ready("s")[0]).To(BeIdenticalTo(&s.Ready("s")[0]))
+		s := fleet.New(3, endpoints).WithEvacuations(orders(4, "a"))
+		Expect(&s.WithEvacuations(orders(5, "a")).Ready("s")[0]).To(BeIdenticalTo(&s.Ready("s")[0]))
 	})
 })
 
