--- a/pkg/discovery/departing.go
+++ b/pkg/discovery/departing.go
@@ -104,7 +104,7 @@
 		f.departures.seen[id] = now
 	}
 	all := f.departures.prune(now, view.listed)
-	view.updateSnapshots(func(s *fleet.Snapshot) *fleet.Snapshot { return s.Depart(all) })
+	view.updateSnapshots(func(s *fleet.Snapshot) *fleet.Snapshot { return s.WithDepartures(all) })
 	return nil
 }
 
--- a/pkg/fleet/departures.go
+++ b/pkg/fleet/departures.go
@@ -12,9 +12,9 @@
 // Departures is the set of endpoint IDs that have announced their departure in a response.
 type Departures map[string]bool
 
-// Depart returns the snapshot with the given departures, or s if they are unchanged. The caller
+// WithDepartures returns the snapshot with the given departures, or s if they are unchanged. The caller
 // must not modify the map afterwards.
-func (s *Snapshot) Depart(departures Departures) *Snapshot {
+func (s *Snapshot) WithDepartures(departures Departures) *Snapshot {
 	if maps.Equal(s.departures, departures) {
 		return s
 	}
--- a/pkg/fleet/departures_test.go
+++ b/pkg/fleet/departures_test.go
@@ -25,7 +25,7 @@
 	}
 
 	BeforeEach(func() {
-		s = fleet.New(1, []fleet.Endpoint{endpoint("a", "1"), endpoint("b", "1")}).Depart(fleet.Departures{"a@1": true})
+		s = fleet.New(1, []fleet.Endpoint{endpoint("a", "1"), endpoint("b", "1")}).WithDepartures(fleet.Departures{"a@1": true})
 	})
 
 	It("get no new work, and are reported as leaving", func() {
@@ -73,7 +73,7 @@
 				"an endpoint says that it leaves": func(t *rapid.T) {
 					said = maps.Clone(said)
 					said[endpoint(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"), rapid.SampledFrom([]string{"1", "2"}).Draw(t, "born")).ID] = true
-					all = all.Depart(said)
+					all = all.WithDepartures(said)
 				},
 				"": func(t *rapid.T) {
 					for _, e := range all.Ready("s") {
--- a/pkg/fleet/editing_test.go
+++ b/pkg/fleet/editing_test.go
@@ -55,7 +55,7 @@
 				"a departure": func(t *rapid.T) {
 					departed = maps.Clone(departed)
 					departed[entry(t).ID] = true
-					s = s.Depart(departed)
+					s = s.WithDepartures(departed)
 				},
 				"an order": func(t *rapid.T) {
 					revision++
