--- a/pkg/discovery/rolling.go
+++ b/pkg/discovery/rolling.go
@@ -68,6 +68,6 @@
 type standingsUpdate fleet.Standings
 
 func (n standingsUpdate) apply(_ *Follower, view *View) func() {
-	view.updateSnapshots(func(s *fleet.Snapshot) *fleet.Snapshot { return s.Stand(fleet.Standings(n)) })
+	view.updateSnapshots(func(s *fleet.Snapshot) *fleet.Snapshot { return s.WithStandings(fleet.Standings(n)) })
 	return nil
 }
--- a/pkg/fleet/versions.go
+++ b/pkg/fleet/versions.go
@@ -98,8 +98,8 @@
 	return false
 }
 
-// Stand returns the snapshot with the given standings, or s if they are unchanged.
-func (s *Snapshot) Stand(standings Standings) *Snapshot {
+// WithStandings returns the snapshot with the given standings, or s if they are unchanged.
+func (s *Snapshot) WithStandings(standings Standings) *Snapshot {
 	if maps.Equal(s.standings, standings) {
 		return s
 	}
