--- a/pkg/discovery/evacuating.go
+++ b/pkg/discovery/evacuating.go
@@ -54,7 +54,7 @@
 // name.
 func (f *Follower) logEvacuation(event, domain string, view *View) {
 	f.log.WithFields(logrus.Fields{
-		"event": event, "domain": domain, "endpoints": view.listed.In(domain), "revision": view.Evacuations().Revision,
+		"event": event, "domain": domain, "endpoints": view.listed.CountInDomain(domain), "revision": view.Evacuations().Revision,
 	}).Info()
 }
 
--- a/pkg/fleet/editing_test.go
+++ b/pkg/fleet/editing_test.go
@@ -115,6 +115,6 @@
 	}
 	undeclared := s.Undeclared()
 	slices.Sort(undeclared)
-	fmt.Fprintln(&b, undeclared, s.In("x"))
+	fmt.Fprintln(&b, undeclared, s.CountInDomain("x"))
 	return b.String()
 }
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -215,8 +215,8 @@
 	return list
 }
 
-// In returns the number of endpoints in a failure domain.
-func (s *Snapshot) In(domain string) int {
+// CountInDomain returns the number of endpoints in a failure domain.
+func (s *Snapshot) CountInDomain(domain string) int {
 	n := 0
 	s.endpoints.forEach(func(_ string, e Endpoint) {
 		if e.FailureDomain == domain {
