--- a/pkg/discovery/lapse.go
+++ b/pkg/discovery/lapse.go
@@ -38,7 +38,7 @@
 	}
 	kept := listed.All()
 	for _, e := range before.All() {
-		if !listed.Lists(e.Name()) && !e.Leaving {
+		if !listed.HasName(e.Name()) && !e.Leaving {
 			kept = append(kept, e)
 		}
 	}
--- a/pkg/fleet/editing_test.go
+++ b/pkg/fleet/editing_test.go
@@ -111,7 +111,7 @@
 	slices.SortFunc(all, func(a, b fleet.Endpoint) int { return strings.Compare(a.Name(), b.Name()) })
 	for _, e := range all {
 		known, found := s.Endpoint(e.ID)
-		fmt.Fprintln(&b, e, known, found, s.MayGetWork(e.ID), s.Barred(e.ID), s.Lists(e.Name()))
+		fmt.Fprintln(&b, e, known, found, s.MayGetWork(e.ID), s.Barred(e.ID), s.HasName(e.Name()))
 	}
 	undeclared := s.Undeclared()
 	slices.Sort(undeclared)
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -192,8 +192,8 @@
 	return s.withDeparture(e), ok
 }
 
-// Lists reports whether the source lists an endpoint under a name, in any incarnation.
-func (s *Snapshot) Lists(name string) bool {
+// HasName reports whether the source lists an endpoint under a name, in any incarnation.
+func (s *Snapshot) HasName(name string) bool {
 	_, ok := s.endpoints.get(name)
 	return ok
 }
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -117,14 +117,14 @@
 		now, known := s.Endpoint("e@2")
 		Expect(known).To(BeTrue())
 		Expect(now).To(Equal(second))
-		Expect(s.Lists("e")).To(BeTrue())
+		Expect(s.HasName("e")).To(BeTrue())
 		Expect(before.MayGetWork("e@1")).To(BeTrue(), "an older snapshot is unchanged")
 	})
 
 	It("is removed with its entry, whichever incarnation that was of", func() {
 		s := before.With(2, []fleet.Change{{Endpoint: fleet.Endpoint{ID: "e"}, Gone: true}})
 		Expect(s.Ready("s")).To(HaveExactElements(other))
-		Expect(s.Lists("e")).To(BeFalse())
+		Expect(s.HasName("e")).To(BeFalse())
 		Expect(s.MayGetWork("e@1")).To(BeFalse())
 	})
 
