--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -415,7 +415,7 @@
 
 // knowsEnough tells whether requests can be served by what is known.
 func (g *Gateway) knowsEnough(view *discovery.View) bool {
-	return view.Complete() && view.Fleet.Any() && !view.Behind(g.clock.Now()) && !g.lacksVersions(view)
+	return view.Complete() && view.Fleet.HasEndpoints() && !view.Behind(g.clock.Now()) && !g.lacksVersions(view)
 }
 
 // obey waits for signals and changed settings until the instance has stopped.
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -205,8 +205,8 @@
 	return ok && s.isAvailable(e) && !s.barred[e.Service][id]
 }
 
-// Any reports whether the snapshot contains any endpoints.
-func (s *Snapshot) Any() bool { return s.endpoints.size > 0 }
+// HasEndpoints reports whether the snapshot contains any endpoints.
+func (s *Snapshot) HasEndpoints() bool { return s.endpoints.size > 0 }
 
 // All returns all endpoints in unspecified order.
 func (s *Snapshot) All() []Endpoint {
