--- a/pkg/discovery/rolling.go
+++ b/pkg/discovery/rolling.go
@@ -31,12 +31,12 @@
 		return false
 	}
 	for _, order := range after.Orders {
-		if known, _ := before.Of(order.Service); known != order {
+		if known, _ := before.ForService(order.Service); known != order {
 			f.logRollout("rollout_ordered", order)
 		}
 	}
 	for _, order := range before.Orders {
-		if _, still := after.Of(order.Service); !still {
+		if _, still := after.ForService(order.Service); !still {
 			f.logRollout("rollout_withdrawn", order)
 		}
 	}
--- a/pkg/fleet/editing_test.go
+++ b/pkg/fleet/editing_test.go
@@ -63,7 +63,7 @@
 					s = s.WithRollouts(s.Rollouts().With(revision, []fleet.RolloutOrder{order}))
 				},
 				"a standing": func(t *rapid.T) {
-					if order, found := s.Rollouts().Of("s"); found {
+					if order, found := s.Rollouts().ForService("s"); found {
 						exposure := fleet.Exposure(rapid.IntRange(0, 3).Draw(t, "exposure"))
 						s = s.WithStandings(fleet.Standings{order.Revision: {Exposure: exposure, Share: 0.5}})
 					}
--- a/pkg/fleet/rollouts.go
+++ b/pkg/fleet/rollouts.go
@@ -40,8 +40,8 @@
 // Known reports whether the rollouts are known.
 func (r Rollouts) Known() bool { return r.Revision > 0 }
 
-// Of returns the order for a service, if any.
-func (r Rollouts) Of(service string) (Rollout, bool) {
+// ForService returns the order for a service, if any.
+func (r Rollouts) ForService(service string) (Rollout, bool) {
 	at, found := r.find(service)
 	if !found {
 		return Rollout{}, false
--- a/pkg/fleet/versions.go
+++ b/pkg/fleet/versions.go
@@ -58,7 +58,7 @@
 		grown[service] = maps.Clone(all)
 	}
 	for _, order := range before.Orders {
-		next, ordered := now.Of(order.Service)
+		next, ordered := now.ForService(order.Service)
 		if standings[order.Revision].Exposure == Proven || ordered && next.Version == order.Version {
 			continue
 		}
@@ -165,7 +165,7 @@
 	if len(kept) == 0 {
 		kept = all
 	}
-	order, ordered := s.rollouts.Of(service)
+	order, ordered := s.rollouts.ForService(service)
 	if !ordered {
 		return kept
 	}
--- a/pkg/fleet/versions_test.go
+++ b/pkg/fleet/versions_test.go
@@ -140,13 +140,13 @@
 				},
 				"its end": func(*rapid.T) { revision++; all = all.WithRollouts(ordered(revision)) },
 				"a standing": func(t *rapid.T) {
-					if o, found := all.Rollouts().Of("s"); found {
+					if o, found := all.Rollouts().ForService("s"); found {
 						exposure := rapid.SampledFrom([]fleet.Exposure{fleet.Withheld, fleet.Tried, fleet.Refuted}).Draw(t, "exposure")
 						all = all.WithStandings(fleet.Standings{o.Revision: {Exposure: exposure, Share: 0.1}})
 					}
 				},
 				"": func(t *rapid.T) {
-					_, found := all.Rollouts().Of("s")
+					_, found := all.Rollouts().ForService("s")
 					for _, e := range all.Ready("s") {
 						if found && e.Version == "v2" {
 							t.Fatalf("%s gets work", e.ID)
--- a/pkg/rollout/keeper.go
+++ b/pkg/rollout/keeper.go
@@ -249,7 +249,7 @@
 // Answer answers a report, as the conductor of its rollout. An instance that does not know of the order has the
 // version withheld.
 func (k *Keeper) Answer(r Report) Instruction {
-	order, ordered := k.view.Rollouts().Of(r.Service)
+	order, ordered := k.view.Rollouts().ForService(r.Service)
 	if !ordered || order.Revision != r.Order {
 		return Instruction{}
 	}
@@ -282,7 +282,7 @@
 	defer k.mu.Unlock()
 	var due []*conducted
 	for revision, c := range k.conductors {
-		inForce, ordered := fleet.Rollouts{Orders: orders}.Of(c.Order().Service)
+		inForce, ordered := fleet.Rollouts{Orders: orders}.ForService(c.Order().Service)
 		switch {
 		case !ordered:
 			c.Withdraw()
