--- a/pkg/fleet/rollouts.go
+++ b/pkg/fleet/rollouts.go
@@ -129,9 +129,9 @@
 	Endpoints []Endpoint
 }
 
-// Takes reports whether a request belongs to the trial. The result is the same on all instances and
+// Includes reports whether a request belongs to the trial. The result is the same on all instances and
 // for retries, so that the share also holds for instances with few requests.
-func (t Trial) Takes(request string) bool {
+func (t Trial) Includes(request string) bool {
 	if len(t.Endpoints) == 0 {
 		return false
 	}
--- a/pkg/fleet/versions_test.go
+++ b/pkg/fleet/versions_test.go
@@ -112,12 +112,12 @@
 		trial := fleet.Trial{Order: order, Share: 0.06, Endpoints: []fleet.Endpoint{endpoint("x", "v2")}}
 		taken := 0
 		for n := range 20_000 {
-			if trial.Takes(fmt.Sprint("request-", n)) {
+			if trial.Includes(fmt.Sprint("request-", n)) {
 				taken++
 			}
 		}
 		Expect(taken).To(BeNumerically("~", 1200, 150))
-		Expect(fleet.Trial{Share: 1}.Takes("request")).To(BeFalse(), "the trial has no endpoints")
+		Expect(fleet.Trial{Share: 1}.Includes("request")).To(BeFalse(), "the trial has no endpoints")
 	})
 
 	It("of an order that is not proven are never ready, in whatever sequence entries, orders and standings arrive", func() {
--- a/pkg/gateway/trial.go
+++ b/pkg/gateway/trial.go
@@ -14,7 +14,7 @@
 // each arrival there counts.
 func (u *run) pickOnTrial(need balance.Need) *balance.Call {
 	trial := u.View().Fleet.Trial(u.service.Name)
-	if u.attempts > 0 || !trial.Takes(u.request.ID) {
+	if u.attempts > 0 || !trial.Includes(u.request.ID) {
 		return nil
 	}
 	return u.Balancer.Pick(u.inside(trial.Endpoints), need)
--- a/pkg/rollout/model_test.go
+++ b/pkg/rollout/model_test.go
@@ -200,7 +200,7 @@
 func (i *node) serve(id string) {
 	now := i.clock.Now()
 	e := fleet.Endpoint{Version: "none"}
-	if trial := i.snapshot.Trial("s"); trial.Takes(id) {
+	if trial := i.snapshot.Trial("s"); trial.Includes(id) {
 		e = trial.Endpoints[0]
 	} else if ready := i.snapshot.Ready("s"); len(ready) > 0 {
 		e = ready[i.random.IntN(len(ready))]
