--- a/pkg/fleet/versions.go
+++ b/pkg/fleet/versions.go
@@ -161,7 +161,7 @@
 }
 
 func (s *Snapshot) eligible(service string, all []Endpoint) []Endpoint {
-	kept := Except(all, func(e Endpoint) bool { return s.withdrawn[service][e.Version] || s.unverified(e) })
+	kept := Exclude(all, func(e Endpoint) bool { return s.withdrawn[service][e.Version] || s.unverified(e) })
 	if len(kept) == 0 {
 		kept = all
 	}
@@ -170,8 +170,8 @@
 		return kept
 	}
 	isNew := func(e Endpoint) bool { return e.Version == order.Version }
-	others := Except(kept, isNew)
-	target := Except(all, func(e Endpoint) bool { return !isNew(e) })
+	others := Exclude(kept, isNew)
+	target := Exclude(all, func(e Endpoint) bool { return !isNew(e) })
 	switch standing := s.standings[order.Revision]; {
 	case standing.Exposure == Proven && len(target) > 0:
 		return target
@@ -184,9 +184,9 @@
 	return others
 }
 
-// Except returns a list without the endpoints that match a predicate, or the list itself if none
+// Exclude returns a list without the endpoints that match a predicate, or the list itself if none
 // match.
-func Except(list []Endpoint, match func(Endpoint) bool) []Endpoint {
+func Exclude(list []Endpoint, match func(Endpoint) bool) []Endpoint {
 	if !slices.ContainsFunc(list, match) {
 		return list
 	}
--- a/pkg/gateway/regions.go
+++ b/pkg/gateway/regions.go
@@ -35,5 +35,5 @@
 	if u.within == nil {
 		return endpoints
 	}
-	return fleet.Except(endpoints, func(e fleet.Endpoint) bool { return !slices.Contains(u.within, e.FailureDomain) })
+	return fleet.Exclude(endpoints, func(e fleet.Endpoint) bool { return !slices.Contains(u.within, e.FailureDomain) })
 }
--- a/pkg/gateway/resting.go
+++ b/pkg/gateway/resting.go
@@ -22,7 +22,7 @@
 // awaitRest waits until the first endpoint that the request has not been sent to has had its rest, and tells
 // whether one may be chosen then.
 func (u *run) awaitRest(ctx context.Context) bool {
-	untried := fleet.Except(u.ready(u.service.Name), func(e fleet.Endpoint) bool { return u.tried[e.ID] })
+	untried := fleet.Exclude(u.ready(u.service.Name), func(e fleet.Endpoint) bool { return u.tried[e.ID] })
 	rest := u.Balancer.Rest(untried)
 	if rest == 0 || u.outlasts(rest) {
 		return false
--- a/pkg/notice/rests.go
+++ b/pkg/notice/rests.go
@@ -130,7 +130,7 @@
 	if r.resting.Load() == 0 && !r.limits.Any() {
 		return endpoints
 	}
-	return fleet.Except(endpoints, func(e fleet.Endpoint) bool { return r.Left(e.ID) > 0 })
+	return fleet.Exclude(endpoints, func(e fleet.Endpoint) bool { return r.Left(e.ID) > 0 })
 }
 
 // List returns how much longer each endpoint's life wants the rest that it asked this machine for.
