--- a/cmd/cobaltcroftd/gateway/rollouts.go
+++ b/cmd/cobaltcroftd/gateway/rollouts.go
@@ -22,14 +22,14 @@
 
 // Versions implements rollout.View.
 func (r rolling) Versions(order fleet.Rollout) (of, others int) {
-	return r.follower.View().Fleet.Versions(order)
+	return r.follower.View().Fleet.CountVersions(order)
 }
 
 // lacksVersions tells whether a service has endpoints of none but a version that is withheld, since this instance has
 // not heard yet that it is proven: it would refuse what others serve.
 func (g *Gateway) lacksVersions(view *discovery.View) bool {
 	for _, order := range view.Rollouts().Orders {
-		of, others := view.Fleet.Versions(order)
+		of, others := view.Fleet.CountVersions(order)
 		withheld := view.Fleet.Standing(order.Revision).Exposure == fleet.Withheld
 		if withheld && of > 0 && others == 0 && g.rollouts.Awaits(order) {
 			return true
--- a/pkg/fleet/versions.go
+++ b/pkg/fleet/versions.go
@@ -126,9 +126,9 @@
 	return s.barred[e.Service][id]
 }
 
-// Versions returns the number of available endpoints of a service that have the version of an
+// CountVersions returns the number of available endpoints of a service that have the version of an
 // order, and the number of those with other versions.
-func (s *Snapshot) Versions(order Rollout) (of, others int) {
+func (s *Snapshot) CountVersions(order Rollout) (of, others int) {
 	for _, e := range s.available[order.Service] {
 		if e.Version == order.Version {
 			of++
--- a/pkg/rollout/model_test.go
+++ b/pkg/rollout/model_test.go
@@ -190,7 +190,7 @@
 
 func (i *node) Rollouts() fleet.Rollouts { return i.snapshot.Rollouts() }
 
-func (i *node) Versions(order fleet.Rollout) (of, others int) { return i.snapshot.Versions(order) }
+func (i *node) Versions(order fleet.Rollout) (of, others int) { return i.snapshot.CountVersions(order) }
 
 func (i *node) Stand(_ context.Context, standings fleet.Standings) {
 	i.snapshot = i.snapshot.WithStandings(standings)
