--- a/pkg/discovery/departing.go
+++ b/pkg/discovery/departing.go
@@ -67,7 +67,7 @@
 	known := f.View().listed
 	var unknown []string
 	for _, id := range ids {
-		if !known.Departing(id) {
+		if !known.IsDeparting(id) {
 			unknown = append(unknown, id)
 		}
 	}
--- a/pkg/fleet/departures.go
+++ b/pkg/fleet/departures.go
@@ -26,8 +26,8 @@
 // Departures returns the number of endpoints that have announced their departure in a response.
 func (s *Snapshot) Departures() int { return len(s.departures) }
 
-// Departing reports whether an endpoint has announced its departure in a response.
-func (s *Snapshot) Departing(id string) bool { return s.departures[id] }
+// IsDeparting reports whether an endpoint has announced its departure in a response.
+func (s *Snapshot) IsDeparting(id string) bool { return s.departures[id] }
 
 // Departed returns the sorted IDs of the endpoints that have announced their departure in a
 // response.
