--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -128,11 +128,11 @@
 // Leave announces that this instance is leaving.
 func (g *Group) Leave() {
 	g.leaving.Store(true)
-	g.Tell()
+	g.Notify()
 }
 
-// Tell sends a heartbeat at once.
-func (g *Group) Tell() { signal(g.notify) }
+// Notify sends a heartbeat at once.
+func (g *Group) Notify() { signal(g.notify) }
 
 // TellAll sends a heartbeat to all members at once, including those in other failure domains. It is
 // meant for rare decisions that concern all members, such as a change of ownership, which they
