--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -213,7 +213,7 @@
 	g.metrics.NewGauge("cobaltcroft_held_bytes", func() float64 { return float64(g.held.Held()) })
 	table := quarantine.New(g.clock, g.logs.For("quarantine"))
 	// The group is put together below; no request comes before.
-	tellAll := func() { g.group.TellAll() }
+	tellAll := func() { g.group.NotifyAll() }
 	g.quarantine = quarantine.NewKeeper(table, g.store, tellAll, g.clock, g.logs.For("quarantine"))
 	g.metrics.NewGauge("cobaltcroft_quarantined_requests", func() float64 { return float64(g.quarantine.Held()) })
 	g.usage = peers.NewUsage(g.metrics)
@@ -238,7 +238,7 @@
 		Self:     self,
 		Live:     g.group.Live,
 		Leaving:  g.group.Leaving,
-		Tell:     g.group.TellAll,
+		Tell:     g.group.NotifyAll,
 		Contacts: s.Peers,
 		Client:   g.client,
 		Planner:  planner,
--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -134,10 +134,10 @@
 // Notify sends a heartbeat at once.
 func (g *Group) Notify() { signal(g.notify) }
 
-// TellAll sends a heartbeat to all members at once, including those in other failure domains. It is
+// NotifyAll sends a heartbeat to all members at once, including those in other failure domains. It is
 // meant for rare decisions that concern all members, such as a change of ownership, which they
 // would otherwise detect only after a delay.
-func (g *Group) TellAll() { signal(g.notifyAll) }
+func (g *Group) NotifyAll() { signal(g.notifyAll) }
 
 func signal(c chan struct{}) {
 	select {
--- a/pkg/group/group_test.go
+++ b/pkg/group/group_test.go
@@ -138,7 +138,7 @@
 			}).Should(Equal(len(all) - 1))
 		}
 		n.resetRecipients()
-		all[1].TellAll()
+		all[1].NotifyAll()
 		Eventually(func() []string { return n.recipientsOf("i1") }).Should(HaveLen(len(all) - 1))
 	})
 
@@ -178,7 +178,7 @@
 		for len(heard) > 0 {
 			<-heard
 		}
-		sender.TellAll()
+		sender.NotifyAll()
 		Eventually(heard).Should(Receive(Equal(32)))
 		mu.Lock()
 		defer mu.Unlock()
