--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -17,7 +17,7 @@
 		Heartbeat:      heartbeat,
 		SuspectAfter:   suspectAfter,
 		Claims:         g.claims,
-		HeardClaims:    g.hearClaims,
+		OnClaims:       g.hearClaims,
 		Division:       g.division,
 		HeardDivision:  g.hearDivision,
 		Revision:       g.documentRevision,
--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -36,8 +36,8 @@
 	SuspectAfter time.Duration
 	// Claims returns the ownership claims to send, and HeardClaims receives those of other members.
 	// HeardClaims must not block. Both may be nil.
-	Claims      func() []ownership.Claim
-	HeardClaims func([]ownership.Claim)
+	Claims   func() []ownership.Claim
+	OnClaims func([]ownership.Claim)
 	// Division returns the division of the stage endpoints to send, and HeardDivision receives that
 	// of another member. HeardDivision must not block. Both may be nil.
 	Division      func() ownership.Division
@@ -206,8 +206,8 @@
 	if g.settings.HeardDivision != nil && h.Division.Term > 0 {
 		g.settings.HeardDivision(h.Division)
 	}
-	if g.settings.HeardClaims != nil && len(h.Claims) > 0 {
-		g.settings.HeardClaims(h.Claims)
+	if g.settings.OnClaims != nil && len(h.Claims) > 0 {
+		g.settings.OnClaims(h.Claims)
 	}
 	if g.settings.HeardRevision != nil && h.Revision > 0 {
 		g.settings.HeardRevision(h.Revision)
