--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -19,7 +19,7 @@
 		Claims:         g.claims,
 		OnClaims:       g.hearClaims,
 		Division:       g.division,
-		HeardDivision:  g.hearDivision,
+		OnDivision:     g.hearDivision,
 		Revision:       g.documentRevision,
 		HeardRevision:  g.hearRevision,
 		Ends:           g.quarantine.Tell,
--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -40,8 +40,8 @@
 	OnClaims func([]ownership.Claim)
 	// Division returns the division of the stage endpoints to send, and HeardDivision receives that
 	// of another member. HeardDivision must not block. Both may be nil.
-	Division      func() ownership.Division
-	HeardDivision func(ownership.Division)
+	Division   func() ownership.Division
+	OnDivision func(ownership.Division)
 	// Revision returns the revision of the local configuration to send, and HeardRevision receives
 	// that of another member. HeardRevision must not block. Both may be nil.
 	Revision      func() uint64
@@ -203,8 +203,8 @@
 
 // dispatch passes the shared state in a heartbeat to the handlers.
 func (g *Group) dispatch(h receivedHeartbeat) {
-	if g.settings.HeardDivision != nil && h.Division.Term > 0 {
-		g.settings.HeardDivision(h.Division)
+	if g.settings.OnDivision != nil && h.Division.Term > 0 {
+		g.settings.OnDivision(h.Division)
 	}
 	if g.settings.OnClaims != nil && len(h.Claims) > 0 {
 		g.settings.OnClaims(h.Claims)
