--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -21,7 +21,7 @@
 		Division:       g.division,
 		OnDivision:     g.hearDivision,
 		Revision:       g.documentRevision,
-		HeardRevision:  g.hearRevision,
+		OnRevision:     g.hearRevision,
 		Ends:           g.quarantine.Tell,
 		HeardEnds:      g.quarantine.Hear,
 		Departing:      g.departing,
--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -44,8 +44,8 @@
 	OnDivision func(ownership.Division)
 	// Revision returns the revision of the local configuration to send, and HeardRevision receives
 	// that of another member. HeardRevision must not block. Both may be nil.
-	Revision      func() uint64
-	HeardRevision func(uint64)
+	Revision   func() uint64
+	OnRevision func(uint64)
 	// Ends returns up to n endpoint failures, with the requests that may have caused them, to send.
 	// HeardEnds receives those of another member and must not block. Both may be nil.
 	Ends      func(n int) []quarantine.End
@@ -209,8 +209,8 @@
 	if g.settings.OnClaims != nil && len(h.Claims) > 0 {
 		g.settings.OnClaims(h.Claims)
 	}
-	if g.settings.HeardRevision != nil && h.Revision > 0 {
-		g.settings.HeardRevision(h.Revision)
+	if g.settings.OnRevision != nil && h.Revision > 0 {
+		g.settings.OnRevision(h.Revision)
 	}
 	if g.settings.HeardEnds != nil && len(h.Ends) > 0 {
 		g.settings.HeardEnds(h.Ends)
