--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -23,7 +23,7 @@
 		Revision:       g.documentRevision,
 		OnRevision:     g.hearRevision,
 		Ends:           g.quarantine.Tell,
-		HeardEnds:      g.quarantine.Hear,
+		OnEnds:         g.quarantine.Hear,
 		Departing:      g.departing,
 		HeardDeparting: g.hearDeparting,
 		Limits:         g.tellLimits,
--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -48,8 +48,8 @@
 	OnRevision func(uint64)
 	// Ends returns up to n endpoint failures, with the requests that may have caused them, to send.
 	// HeardEnds receives those of another member and must not block. Both may be nil.
-	Ends      func(n int) []quarantine.End
-	HeardEnds func([]quarantine.End)
+	Ends   func(n int) []quarantine.End
+	OnEnds func([]quarantine.End)
 	// Departing returns up to n IDs of departing endpoints that the source does not list as
 	// leaving, to send. HeardDeparting receives those of another member and must not block. Both
 	// may be nil. They are only sent with regular heartbeats, because instances that use such an
@@ -212,8 +212,8 @@
 	if g.settings.OnRevision != nil && h.Revision > 0 {
 		g.settings.OnRevision(h.Revision)
 	}
-	if g.settings.HeardEnds != nil && len(h.Ends) > 0 {
-		g.settings.HeardEnds(h.Ends)
+	if g.settings.OnEnds != nil && len(h.Ends) > 0 {
+		g.settings.OnEnds(h.Ends)
 	}
 	if g.settings.HeardLimits != nil && len(h.Limits) > 0 {
 		g.settings.HeardLimits(h.Limits)
--- a/pkg/group/group_test.go
+++ b/pkg/group/group_test.go
@@ -160,7 +160,7 @@
 			_ = t.Wait()
 		})
 		sender := group.New(group.Settings{Self: membership.Self{Name: "sender", PeerAddress: "a0"}, Contacts: []string{"a1"}, Heartbeat: time.Second, SuspectAfter: time.Second, Ends: ends}, n, clock, logging.Discard().For("peers"))
-		receiver := group.New(group.Settings{Self: membership.Self{Name: "receiver", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, HeardEnds: func(ends []quarantine.End) { heard <- len(ends) }}, n, clock, logging.Discard().For("peers"))
+		receiver := group.New(group.Settings{Self: membership.Self{Name: "receiver", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, OnEnds: func(ends []quarantine.End) { heard <- len(ends) }}, n, clock, logging.Discard().For("peers"))
 		n.groups["a0"], n.groups["a1"] = sender, receiver
 		t.Go(func() error { return sender.Run(&t) })
 		t.Go(func() error { return receiver.Run(&t) })
