--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -12,22 +12,22 @@
 // tell.
 func (g *Gateway) groupSettings(self membership.Self) group.Settings {
 	return group.Settings{
-		Self:           self,
-		Contacts:       g.settings.Peers,
-		Heartbeat:      heartbeat,
-		SuspectAfter:   suspectAfter,
-		Claims:         g.claims,
-		OnClaims:       g.hearClaims,
-		Division:       g.division,
-		OnDivision:     g.hearDivision,
-		Revision:       g.documentRevision,
-		OnRevision:     g.hearRevision,
-		Ends:           g.quarantine.Tell,
-		OnEnds:         g.quarantine.Hear,
-		Departing:      g.departing,
-		HeardDeparting: g.hearDeparting,
-		Limits:         g.tellLimits,
-		HeardLimits:    g.hearLimits,
+		Self:         self,
+		Contacts:     g.settings.Peers,
+		Heartbeat:    heartbeat,
+		SuspectAfter: suspectAfter,
+		Claims:       g.claims,
+		OnClaims:     g.hearClaims,
+		Division:     g.division,
+		OnDivision:   g.hearDivision,
+		Revision:     g.documentRevision,
+		OnRevision:   g.hearRevision,
+		Ends:         g.quarantine.Tell,
+		OnEnds:       g.quarantine.Hear,
+		Departing:    g.departing,
+		OnDeparting:  g.hearDeparting,
+		Limits:       g.tellLimits,
+		HeardLimits:  g.hearLimits,
 	}
 }
 
--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -54,8 +54,8 @@
 	// leaving, to send. HeardDeparting receives those of another member and must not block. Both
 	// may be nil. They are only sent with regular heartbeats, because instances that use such an
 	// endpoint learn of its departure from its responses.
-	Departing      func(n int) []string
-	HeardDeparting func(ids []string)
+	Departing   func(n int) []string
+	OnDeparting func(ids []string)
 	// Limits returns up to n limits that endpoints set for all instances, to send. HeardLimits
 	// receives those of another member and must not block. Both may be nil.
 	Limits      func(n int) []throttle.Limit
@@ -218,12 +218,12 @@
 	if g.settings.HeardLimits != nil && len(h.Limits) > 0 {
 		g.settings.HeardLimits(h.Limits)
 	}
-	if g.settings.HeardDeparting != nil && len(h.departing) > 0 {
+	if g.settings.OnDeparting != nil && len(h.departing) > 0 {
 		ids := make([]string, len(h.departing))
 		for i, e := range h.departing {
 			ids[i] = e.Name
 		}
-		g.settings.HeardDeparting(ids)
+		g.settings.OnDeparting(ids)
 	}
 }
 
--- a/pkg/group/group_test.go
+++ b/pkg/group/group_test.go
@@ -196,7 +196,7 @@
 		})
 		departing := func(n int) []string { return []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}[:n] }
 		sender := group.New(group.Settings{Self: membership.Self{Name: "sender", PeerAddress: "a0"}, Contacts: []string{"a1"}, Heartbeat: time.Second, SuspectAfter: time.Second, Departing: departing}, n, clock, logging.Discard().For("peers"))
-		receiver := group.New(group.Settings{Self: membership.Self{Name: "receiver", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, HeardDeparting: func(lives []string) { heard <- lives }}, n, clock, logging.Discard().For("peers"))
+		receiver := group.New(group.Settings{Self: membership.Self{Name: "receiver", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, OnDeparting: func(lives []string) { heard <- lives }}, n, clock, logging.Discard().For("peers"))
 		n.groups["a0"], n.groups["a1"] = sender, receiver
 		t.Go(func() error { return sender.Run(&t) })
 		t.Go(func() error { return receiver.Run(&t) })
