--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -27,7 +27,7 @@
 		Departing:    g.departing,
 		OnDeparting:  g.hearDeparting,
 		Limits:       g.tellLimits,
-		HeardLimits:  g.hearLimits,
+		OnLimits:     g.hearLimits,
 	}
 }
 
--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -58,8 +58,8 @@
 	OnDeparting func(ids []string)
 	// Limits returns up to n limits that endpoints set for all instances, to send. HeardLimits
 	// receives those of another member and must not block. Both may be nil.
-	Limits      func(n int) []throttle.Limit
-	HeardLimits func([]throttle.Limit)
+	Limits   func(n int) []throttle.Limit
+	OnLimits func([]throttle.Limit)
 }
 
 const (
@@ -215,8 +215,8 @@
 	if g.settings.OnEnds != nil && len(h.Ends) > 0 {
 		g.settings.OnEnds(h.Ends)
 	}
-	if g.settings.HeardLimits != nil && len(h.Limits) > 0 {
-		g.settings.HeardLimits(h.Limits)
+	if g.settings.OnLimits != nil && len(h.Limits) > 0 {
+		g.settings.OnLimits(h.Limits)
 	}
 	if g.settings.OnDeparting != nil && len(h.departing) > 0 {
 		ids := make([]string, len(h.departing))
