--- a/pkg/discovery/departing.go
+++ b/pkg/discovery/departing.go
@@ -18,7 +18,7 @@
 // DepartureSource identifies how a departure was learned.
 type DepartureSource string
 
-// Values of Teller.
+// Values of DepartureSource.
 const (
 	FromResponse DepartureSource = "answer"
 	FromPeer     DepartureSource = "peer"
--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -184,16 +184,16 @@
 }
 
 func (p fakePeers) status(state sourceState) discovery.DocumentStatus {
-	mark := discovery.DocumentStatus{Revision: state.Document.Revision, At: state.Revision, Age: p.stateAge(), Newest: state.Document.Revision}
+	status := discovery.DocumentStatus{Revision: state.Document.Revision, At: state.Revision, Age: p.stateAge(), Newest: state.Document.Revision}
 	p.mu.Lock()
 	if !p.silentOnOrders {
-		mark.Evacuations = fleet.Evacuations{Revision: state.Revision, Domains: state.Evacuated}
+		status.Evacuations = fleet.Evacuations{Revision: state.Revision, Domains: state.Evacuated}
 	}
 	if !p.silentOnOrders && !p.silentOnRollouts {
-		mark.Rollouts = fleet.Rollouts{Revision: state.Revision, Orders: state.Rollouts}
+		status.Rollouts = fleet.Rollouts{Revision: state.Revision, Orders: state.Rollouts}
 	}
 	p.mu.Unlock()
-	return mark
+	return status
 }
 
 func (p fakePeers) State(_ context.Context, newerThan uint64) (discovery.PeerState, error) {
--- a/pkg/discovery/documents.go
+++ b/pkg/discovery/documents.go
@@ -156,8 +156,8 @@
 	f.logInvalidEvacuations(newest.Evacuations, newest.At)
 	f.logInvalidRollouts(newest.Rollouts)
 	view := f.View()
-	n := documentUpdate{document: newest.Document, at: at, from: "source", orders: orders{since: since, at: newest.At, evacuations: newest.Evacuations, rollouts: newest.Rollouts}}
-	n.mark = DocumentStatus{Revision: max(newest.Document.Revision, view.Document.Revision), At: newest.At}
+	n := documentUpdate{document: newest.Document, confirmedAt: at, from: "source", orders: orders{since: since, at: newest.At, evacuations: newest.Evacuations, rollouts: newest.Rollouts}}
+	n.status = DocumentStatus{Revision: max(newest.Document.Revision, view.Document.Revision), At: newest.At}
 	if newest.Document.Revision > max(view.Document.Revision, view.rejected) {
 		n.table = f.compile(newest.Document, n.from)
 	}
--- a/pkg/discovery/endpoints.go
+++ b/pkg/discovery/endpoints.go
@@ -119,11 +119,11 @@
 		return err
 	}
 	f.logCall("endpoints", "watch", transfer)
-	n := changesUpdate{changes: changes, since: since, heard: transfer.confirmedAt(wait)}
-	n.at = n.heard
+	n := changesUpdate{changes: changes, since: since, heardAt: transfer.confirmedAt(wait)}
+	n.confirmedAt = n.heardAt
 	if len(changes.Endpoints) > 0 {
 		// The changes may have been sent at any time during the watch and delayed since.
-		n.at = transfer.begin
+		n.confirmedAt = transfer.begin
 	}
 	f.deliver(ctx, n)
 	return nil
@@ -139,7 +139,7 @@
 		return err
 	}
 	f.logCall("endpoints", "read", transfer)
-	f.deliver(ctx, endpointsUpdate{state: state, at: transfer.begin, heard: transfer.begin})
+	f.deliver(ctx, endpointsUpdate{state: state, confirmedAt: transfer.begin, heardAt: transfer.begin})
 	return nil
 }
 
@@ -188,7 +188,7 @@
 	cancel()
 	now := f.clock.Now()
 	if err == nil {
-		f.deliver(ctx, statusUpdate{mark: response.Status, at: now.Add(-response.Status.Age)})
+		f.deliver(ctx, statusUpdate{status: response.Status, at: now.Add(-response.Status.Age)})
 	}
 	if err == nil && response.Gone {
 		err = ErrHistoryGone
@@ -198,7 +198,7 @@
 		return false
 	}
 	confirmed := now.Add(-response.Age)
-	f.deliver(ctx, changesUpdate{changes: response.Changes, since: request.Since, at: confirmed, heard: confirmed})
+	f.deliver(ctx, changesUpdate{changes: response.Changes, since: request.Since, confirmedAt: confirmed, heardAt: confirmed})
 	if response.Status.Age <= maxStatusAge {
 		f.lastRelayed.Store(&now)
 	}
@@ -237,9 +237,9 @@
 	}
 	switch confirmed := at.Add(-known.Age); {
 	case known.Same:
-		f.deliver(ctx, changesUpdate{changes: Changes{Revision: known.State.Revision}, since: known.State.Revision, at: confirmed, heard: confirmed})
+		f.deliver(ctx, changesUpdate{changes: Changes{Revision: known.State.Revision}, since: known.State.Revision, confirmedAt: confirmed, heardAt: confirmed})
 	case known.Age <= confirmationTTL || !view.Confirmed.IsZero():
-		f.deliver(ctx, endpointsUpdate{state: known.State, at: confirmed, heard: confirmed})
+		f.deliver(ctx, endpointsUpdate{state: known.State, confirmedAt: confirmed, heardAt: confirmed})
 	}
-	f.deliver(ctx, statusUpdate{mark: known.Status, at: at.Add(-known.Status.Age)})
+	f.deliver(ctx, statusUpdate{status: known.Status, at: at.Add(-known.Status.Age)})
 }
--- a/pkg/discovery/evacuating_test.go
+++ b/pkg/discovery/evacuating_test.go
@@ -123,15 +123,15 @@
 		got := ask(none)
 		Consistently(got).WithTimeout(100 * time.Millisecond).ShouldNot(Receive())
 		put(store, inDomains(6, "b"))
-		var told discovery.RelayResponse
-		Eventually(got).WithTimeout(3 * time.Second).Should(Receive(&told))
-		Expect(told.Status.Evacuations.Domains).To(HaveExactElements("b"))
+		var response discovery.RelayResponse
+		Eventually(got).WithTimeout(3 * time.Second).Should(Receive(&response))
+		Expect(response.Status.Evacuations.Domains).To(HaveExactElements("b"))
 		Eventually(ask(none)).Should(Receive(), "a later requester that does not know it yet")
-		got = ask(told.Status.Evacuations)
+		got = ask(response.Status.Evacuations)
 		Consistently(got).WithTimeout(100 * time.Millisecond).ShouldNot(Receive())
 		put(store, inDomains(7))
-		Eventually(got).WithTimeout(time.Second).Should(Receive(&told))
-		Expect(told.Status.Evacuations.Domains).To(BeEmpty())
+		Eventually(got).WithTimeout(time.Second).Should(Receive(&response))
+		Expect(response.Status.Evacuations.Domains).To(BeEmpty())
 	})
 
 	It("is asked of the source when the instances that provide the configuration omit it", func() {
--- a/pkg/discovery/model_test.go
+++ b/pkg/discovery/model_test.go
@@ -45,8 +45,8 @@
 }
 
 type delivery struct {
-	to   int
-	news update
+	to     int
+	update update
 	// has is the revision of the sender's document, or 0 if the update does not tell it.
 	has uint64
 }
@@ -154,42 +154,42 @@
 // ask queues the source's response to a read or a watch of a follower.
 func (m *model) ask(t *rapid.T, to int) {
 	view := m.followers[to].View()
-	n := documentUpdate{at: m.clock.Now(), from: "source"}
+	n := documentUpdate{confirmedAt: m.clock.Now(), from: "source"}
 	if newest := m.newest(m.revision); newest > view.Document.Revision {
 		n.document = Document{Revision: newest}
 		n.table = m.table(newest)
 	}
-	n.mark = DocumentStatus{Revision: max(n.document.Revision, view.Document.Revision), At: m.revision}
+	n.status = DocumentStatus{Revision: max(n.document.Revision, view.Document.Revision), At: m.revision}
 	n.orders = orders{at: m.revision}
 	if view.ordersRevision() > 0 && !rapid.Bool().Draw(t, "all") {
 		n.orders.since = view.watchRevision()
 	}
 	n.orders.evacuations = m.ordersAfter(n.orders.since, m.revision)
 	n.orders.rollouts = m.rolloutsAfter(n.orders.since, m.revision)
-	m.pending = append(m.pending, delivery{to: to, news: n})
+	m.pending = append(m.pending, delivery{to: to, update: n})
 }
 
 // tell queues an update with a follower's document for another one: a heartbeat, a mark or the
 // document itself.
 func (m *model) tell(t *rapid.T, from, to int) {
 	view, now := m.followers[from].View(), m.clock.Now()
-	mark := view.status(now)
-	if mark.Revision == 0 {
+	status := view.status(now)
+	if status.Revision == 0 {
 		return
 	}
 	var n update
 	switch rapid.IntRange(0, 2).Draw(t, "how") {
 	case 0:
-		n = revisionUpdate(mark.Revision)
+		n = revisionUpdate(status.Revision)
 	case 1:
-		n = statusUpdate{mark: mark, at: now.Add(-mark.Age)}
+		n = statusUpdate{status: status, at: now.Add(-status.Age)}
 	case 2:
-		m.pending = append(m.pending, delivery{to: to, news: documentUpdate{
-			document: view.Document, table: m.table(mark.Revision), mark: mark, at: now.Add(-mark.Age), from: "peer",
+		m.pending = append(m.pending, delivery{to: to, update: documentUpdate{
+			document: view.Document, table: m.table(status.Revision), status: status, confirmedAt: now.Add(-status.Age), from: "peer",
 		}})
 		return
 	}
-	m.pending = append(m.pending, delivery{to: to, news: n, has: mark.Revision})
+	m.pending = append(m.pending, delivery{to: to, update: n, has: status.Revision})
 }
 
 // deliver applies, duplicates or drops a pending update.
@@ -210,7 +210,7 @@
 	}
 	f := m.followers[d.to]
 	before := f.View()
-	f.apply(d.news)
+	f.apply(d.update)
 	if d.has > before.resolvedRevision() {
 		m.heard[d.to] = heardRevision{d.has, m.clock.Now()}
 	}
--- a/pkg/discovery/news.go
+++ b/pkg/discovery/news.go
@@ -19,9 +19,9 @@
 // endpointsUpdate contains all endpoints, when the source confirmed them and when it was last heard
 // from.
 type endpointsUpdate struct {
-	state State
-	at    time.Time
-	heard time.Time
+	state       State
+	confirmedAt time.Time
+	heardAt     time.Time
 }
 
 func (n endpointsUpdate) apply(f *Follower, view *View) func() {
@@ -31,7 +31,7 @@
 	f.dropInvalid(view, n.state.Refused)
 	before := view.listed.Revision
 	view.listed = view.listed.Replace(n.state.Revision, n.state.Endpoints)
-	f.confirmEndpoints(view, n.at, n.heard)
+	f.confirmEndpoints(view, n.confirmedAt, n.heardAt)
 	if n.state.Revision == before {
 		return nil
 	}
@@ -42,10 +42,10 @@
 // changesUpdate contains the changes of the endpoints after a revision, when the source confirmed
 // them and when it was last heard from.
 type changesUpdate struct {
-	changes Changes
-	since   uint64
-	at      time.Time
-	heard   time.Time
+	changes     Changes
+	since       uint64
+	confirmedAt time.Time
+	heardAt     time.Time
 }
 
 func (n changesUpdate) apply(f *Follower, view *View) func() {
@@ -56,7 +56,7 @@
 	}
 	f.dropInvalid(view, n.changes.Endpoints)
 	view.listed = view.listed.With(n.changes.Revision, n.changes.Endpoints)
-	f.confirmEndpoints(view, n.at, n.heard)
+	f.confirmEndpoints(view, n.confirmedAt, n.heardAt)
 	f.history.add(before, n.changes)
 	return f.history.notifyWaiters
 }
@@ -79,11 +79,11 @@
 type documentUpdate struct {
 	document Document
 	// table is the compiled document, or nil if it is invalid.
-	table *route.Table
-	mark  DocumentStatus
-	at    time.Time
-	from  string
-	// orders contains the orders returned by the source. Updates from peers carry them in mark.
+	table       *route.Table
+	status      DocumentStatus
+	confirmedAt time.Time
+	from        string
+	// orders contains the orders returned by the source. Updates from peers carry them in status.
 	orders orders
 }
 
@@ -92,9 +92,9 @@
 		return nil
 	}
 	changed := f.updateEvacuations(view, n.orders.applyEvacuations(view.Evacuations()))
-	changed = f.updateEvacuations(view, n.mark.Evacuations) || changed
+	changed = f.updateEvacuations(view, n.status.Evacuations) || changed
 	changed = f.updateRollouts(view, n.orders.applyRollouts(view.Rollouts())) || changed
-	changed = f.updateRollouts(view, n.mark.Rollouts) || changed
+	changed = f.updateRollouts(view, n.status.Rollouts) || changed
 	return f.notifyIf(changed, n.applyDocument(f, view))
 }
 
@@ -103,7 +103,7 @@
 	if n.document.Revision > view.Document.Revision {
 		return n.activate(f, view)
 	}
-	view.confirmDocument(n.mark, n.at)
+	view.confirmDocument(n.status, n.confirmedAt)
 	return nil
 }
 
@@ -111,12 +111,12 @@
 func (n documentUpdate) activate(f *Follower, view *View) func() {
 	fields := logrus.Fields{"event": "configuration_in_force", "revision": n.document.Revision, "from": n.from}
 	if n.table == nil {
-		view.reject(n.mark, n.at)
+		view.reject(n.status, n.confirmedAt)
 		return nil
 	}
 	fields["version"] = n.table.Version
 	if view.Table != nil && n.table.Version < view.Table.Version {
-		view.reject(n.mark, n.at)
+		view.reject(n.status, n.confirmedAt)
 		fields["event"], fields["in_force"] = "configuration_older", view.Table.Version
 		f.log.WithFields(fields).Warn()
 		return nil
@@ -124,7 +124,7 @@
 	now := f.clock.Now()
 	lacked, _ := view.Lacking(now)
 	view.Table, view.Document = n.table, n.document
-	view.DocumentAt, view.DocumentConfirmed = max(view.DocumentAt, n.mark.At), n.at
+	view.DocumentAt, view.DocumentConfirmed = max(view.DocumentAt, n.status.At), n.confirmedAt
 	view.documentActivated(now)
 	fields["bytes"], fields["lacked_ms"] = len(n.document.Data), lacked.Milliseconds()
 	f.log.WithFields(fields).Info()
@@ -133,17 +133,17 @@
 
 // statusUpdate contains a peer's document status as of a time.
 type statusUpdate struct {
-	mark DocumentStatus
-	at   time.Time
+	status DocumentStatus
+	at     time.Time
 }
 
 func (n statusUpdate) apply(f *Follower, view *View) func() {
-	ordered := f.updateEvacuations(view, n.mark.Evacuations)
-	ordered = f.updateRollouts(view, n.mark.Rollouts) || ordered
-	view.confirmDocument(n.mark, n.at)
+	ordered := f.updateEvacuations(view, n.status.Evacuations)
+	ordered = f.updateRollouts(view, n.status.Rollouts) || ordered
+	view.confirmDocument(n.status, n.at)
 	now := f.clock.Now()
-	had := view.noteRevision(n.mark.Revision, true, now)
-	heard := view.noteRevision(n.mark.Newest, false, now)
+	had := view.noteRevision(n.status.Revision, true, now)
+	heard := view.noteRevision(n.status.Newest, false, now)
 	return f.notifyIf(ordered, f.notifyIfNew(had || heard))
 }
 
--- a/pkg/discovery/source.go
+++ b/pkg/discovery/source.go
@@ -76,7 +76,7 @@
 	// Revision is the revision of the document; 0 means none.
 	Revision uint64 `json:"revision"`
 	// At is the revision of the source as of which the document was the newest. That was confirmed
-	// Age, in nanoseconds, before the mark was created.
+	// Age, in nanoseconds, before the status was created.
 	At  uint64        `json:"at"`
 	Age time.Duration `json:"age_ns"`
 	// Newest is the highest document revision known to the instance.
--- a/pkg/discovery/taking.go
+++ b/pkg/discovery/taking.go
@@ -132,7 +132,7 @@
 }
 
 // activateFetched verifies a complete document and puts it in force.
-func (f *Follower) activateFetched(ctx context.Context, peer string, b *partialDocument, mark DocumentStatus) bool {
+func (f *Follower) activateFetched(ctx context.Context, peer string, b *partialDocument, status DocumentStatus) bool {
 	complete := *b
 	*b = partialDocument{}
 	document, err := complete.document.unpack()
@@ -141,7 +141,7 @@
 		return false
 	}
 	f.documentCache.put(&complete.document)
-	n := documentUpdate{document: document, mark: mark, at: complete.at.Add(-mark.Age), from: "peer"}
+	n := documentUpdate{document: document, status: status, confirmedAt: complete.at.Add(-status.Age), from: "peer"}
 	n.table = f.compile(document, n.from)
 	f.deliver(ctx, n)
 	return n.table != nil
--- a/pkg/discovery/view.go
+++ b/pkg/discovery/view.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// confirmDocument records that a mark was valid at a time.
+// confirmDocument records that a status was valid at a time.
 func (v *View) confirmDocument(m DocumentStatus, at time.Time) {
 	if m.Revision != v.Document.Revision {
 		return
@@ -173,7 +173,7 @@
 	}
 }
 
-// reject records that the newest document as of a mark cannot be put in force. The current document
+// reject records that the newest document as of a status cannot be put in force. The current document
 // stays in force and is confirmed.
 func (v *View) reject(m DocumentStatus, at time.Time) {
 	v.rejected = max(v.rejected, m.Revision)
--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -34,29 +34,29 @@
 	Contacts     []string
 	Heartbeat    time.Duration
 	SuspectAfter time.Duration
-	// Claims returns the ownership claims to send, and HeardClaims receives those of other members.
-	// HeardClaims must not block. Both may be nil.
+	// Claims returns the ownership claims to send, and OnClaims receives those of other members.
+	// OnClaims must not block. Both may be nil.
 	Claims   func() []ownership.Claim
 	OnClaims func([]ownership.Claim)
-	// Division returns the division of the stage endpoints to send, and HeardDivision receives that
-	// of another member. HeardDivision must not block. Both may be nil.
+	// Division returns the division of the stage endpoints to send, and OnDivision receives that
+	// of another member. OnDivision must not block. Both may be nil.
 	Division   func() ownership.Division
 	OnDivision func(ownership.Division)
-	// Revision returns the revision of the local configuration to send, and HeardRevision receives
-	// that of another member. HeardRevision must not block. Both may be nil.
+	// Revision returns the revision of the local configuration to send, and OnRevision receives
+	// that of another member. OnRevision must not block. Both may be nil.
 	Revision   func() uint64
 	OnRevision func(uint64)
 	// Ends returns up to n endpoint failures, with the requests that may have caused them, to send.
-	// HeardEnds receives those of another member and must not block. Both may be nil.
+	// OnEnds receives those of another member and must not block. Both may be nil.
 	Ends   func(n int) []quarantine.End
 	OnEnds func([]quarantine.End)
 	// Departing returns up to n IDs of departing endpoints that the source does not list as
-	// leaving, to send. HeardDeparting receives those of another member and must not block. Both
+	// leaving, to send. OnDeparting receives those of another member and must not block. Both
 	// may be nil. They are only sent with regular heartbeats, because instances that use such an
 	// endpoint learn of its departure from its responses.
 	Departing   func(n int) []string
 	OnDeparting func(ids []string)
-	// Limits returns up to n limits that endpoints set for all instances, to send. HeardLimits
+	// Limits returns up to n limits that endpoints set for all instances, to send. OnLimits
 	// receives those of another member and must not block. Both may be nil.
 	Limits   func(n int) []throttle.Limit
 	OnLimits func([]throttle.Limit)
