--- a/pkg/fleet/rollouts.go
+++ b/pkg/fleet/rollouts.go
@@ -107,15 +107,15 @@
 	return words[e]
 }
 
-// Standing is the state of a rollout.
-type Standing struct {
+// RolloutState is the state of a rollout.
+type RolloutState struct {
 	Exposure Exposure
 	// Share is the fraction of the requests that a tried version gets, from 0 to 1.
 	Share float64
 }
 
 // Standings contains the state of rollouts by the revision of their order. It must not be modified.
-type Standings map[uint64]Standing
+type Standings map[uint64]RolloutState
 
 // Trial describes the traffic of a version that is being tried.
 type Trial struct {
--- a/pkg/fleet/versions.go
+++ b/pkg/fleet/versions.go
@@ -112,7 +112,7 @@
 func (s *Snapshot) Rollouts() Rollouts { return s.rollouts }
 
 // Standing returns the state of the rollout with the given order revision.
-func (s *Snapshot) Standing(order uint64) Standing { return s.standings[order] }
+func (s *Snapshot) Standing(order uint64) RolloutState { return s.standings[order] }
 
 // Trial returns the trial of a service. It has no endpoints if no version is being tried.
 func (s *Snapshot) Trial(service string) Trial { return s.trials[service] }
--- a/pkg/rollout/listing.go
+++ b/pkg/rollout/listing.go
@@ -46,7 +46,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	standing := fleet.Standing{}
+	standing := fleet.RolloutState{}
 	if known := p.part[entry.Order]; known != nil {
 		standing = known.standing(now)
 		entry.AgeMs, entry.State, entry.Recorded = now.Sub(known.since).Milliseconds(), known.told.State, known.told.Recorded
--- a/pkg/rollout/participant.go
+++ b/pkg/rollout/participant.go
@@ -169,12 +169,12 @@
 
 // standing is how the rollout stands here. What was told holds for a while only: the next word may not get
 // through, and say that the version is bad.
-func (k *part) standing(now time.Time) fleet.Standing {
+func (k *part) standing(now time.Time) fleet.RolloutState {
 	forGood := k.told.Recorded || k.told.State == Reverted
 	if !forGood && now.After(k.until) {
-		return fleet.Standing{}
+		return fleet.RolloutState{}
 	}
-	return fleet.Standing{Exposure: k.told.Exposure, Share: k.told.Share}
+	return fleet.RolloutState{Exposure: k.told.Exposure, Share: k.told.Share}
 }
 
 // Standings are how all rollouts stand here.
--- a/pkg/rollout/participant_test.go
+++ b/pkg/rollout/participant_test.go
@@ -19,7 +19,7 @@
 	)
 
 	tell := func(i rollout.Instruction) { p.Told(order.Revision, i, clock.Now().Add(time.Second)) }
-	standing := func() fleet.Standing { return p.Standings()[order.Revision] }
+	standing := func() fleet.RolloutState { return p.Standings()[order.Revision] }
 	tried := rollout.Instruction{Exposure: fleet.Tried, Share: 0.06, State: rollout.Running, Step: 1}
 	proven := rollout.Instruction{Exposure: fleet.Proven, State: rollout.Running, Step: 4}
 
@@ -33,7 +33,7 @@
 		Expect(standing().Exposure).To(Equal(fleet.Withheld))
 		for _, i := range []rollout.Instruction{tried, proven} {
 			tell(i)
-			Expect(standing()).To(Equal(fleet.Standing{Exposure: i.Exposure, Share: i.Share}))
+			Expect(standing()).To(Equal(fleet.RolloutState{Exposure: i.Exposure, Share: i.Share}))
 			clock.Advance(1001 * time.Millisecond)
 			Expect(standing().Exposure).To(Equal(fleet.Withheld))
 		}
