--- a/cmd/cobaltcroftd/gateway/rollouts.go
+++ b/cmd/cobaltcroftd/gateway/rollouts.go
@@ -45,6 +45,6 @@
 }
 
 // Stand implements rollout.View.
-func (r rolling) Stand(ctx context.Context, standings fleet.Standings) {
+func (r rolling) Stand(ctx context.Context, standings fleet.RolloutStates) {
 	r.follower.SetStandings(ctx, standings)
 }
--- a/pkg/discovery/rolling.go
+++ b/pkg/discovery/rolling.go
@@ -60,14 +60,14 @@
 
 // SetStandings applies the standings of the rollouts that this instance has to follow. It returns once
 // they are in the view or ctx is done.
-func (f *Follower) SetStandings(ctx context.Context, standings fleet.Standings) {
+func (f *Follower) SetStandings(ctx context.Context, standings fleet.RolloutStates) {
 	f.deliver(ctx, standingsUpdate(standings))
 }
 
 // standingsUpdate contains the standings of the rollouts.
-type standingsUpdate fleet.Standings
+type standingsUpdate fleet.RolloutStates
 
 func (n standingsUpdate) apply(_ *Follower, view *View) func() {
-	view.updateSnapshots(func(s *fleet.Snapshot) *fleet.Snapshot { return s.WithStandings(fleet.Standings(n)) })
+	view.updateSnapshots(func(s *fleet.Snapshot) *fleet.Snapshot { return s.WithStandings(fleet.RolloutStates(n)) })
 	return nil
 }
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -65,7 +65,7 @@
 	departures Departures
 	// rollouts contains the orders to move traffic between versions, and standings their state.
 	rollouts  Rollouts
-	standings Standings
+	standings RolloutStates
 	versions  versionRevisions
 	withdrawn withdrawnVersions
 	// trials contains the trials by service. barred contains the IDs of endpoints by service that
--- a/pkg/fleet/rollouts.go
+++ b/pkg/fleet/rollouts.go
@@ -114,8 +114,8 @@
 	Share float64
 }
 
-// Standings contains the state of rollouts by the revision of their order. It must not be modified.
-type Standings map[uint64]RolloutState
+// RolloutStates contains the state of rollouts by the revision of their order. It must not be modified.
+type RolloutStates map[uint64]RolloutState
 
 // Trial describes the traffic of a version that is being tried.
 type Trial struct {
--- a/pkg/fleet/versions.go
+++ b/pkg/fleet/versions.go
@@ -52,7 +52,7 @@
 type withdrawnVersions map[string]map[string]bool
 
 // after returns the withdrawn versions after the orders change from before to now.
-func (w withdrawnVersions) after(before, now Rollouts, standings Standings) withdrawnVersions {
+func (w withdrawnVersions) after(before, now Rollouts, standings RolloutStates) withdrawnVersions {
 	grown := make(withdrawnVersions, len(w))
 	for service, all := range w {
 		grown[service] = maps.Clone(all)
@@ -99,7 +99,7 @@
 }
 
 // WithStandings returns the snapshot with the given standings, or s if they are unchanged.
-func (s *Snapshot) WithStandings(standings Standings) *Snapshot {
+func (s *Snapshot) WithStandings(standings RolloutStates) *Snapshot {
 	if maps.Equal(s.standings, standings) {
 		return s
 	}
--- a/pkg/rollout/keeper.go
+++ b/pkg/rollout/keeper.go
@@ -65,7 +65,7 @@
 	// Versions counts the endpoints of the version of an order, and the others.
 	Versions(order fleet.Rollout) (of, others int)
 	// Stand has rollouts stand so.
-	Stand(ctx context.Context, standings fleet.Standings)
+	Stand(ctx context.Context, standings fleet.RolloutStates)
 }
 
 const (
@@ -113,7 +113,7 @@
 	// begin begins a call; it does not wait for its end.
 	begin func(call func())
 	// stood are the standings that the view was told last; it belongs to the goroutine of Run.
-	stood fleet.Standings
+	stood fleet.RolloutStates
 }
 
 // conducted is a rollout that this instance conducts.
--- a/pkg/rollout/participant.go
+++ b/pkg/rollout/participant.go
@@ -178,11 +178,11 @@
 }
 
 // Standings are how all rollouts stand here.
-func (p *Participant) Standings() fleet.Standings {
+func (p *Participant) Standings() fleet.RolloutStates {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	standings := make(fleet.Standings, len(p.part))
+	standings := make(fleet.RolloutStates, len(p.part))
 	for order, known := range p.part {
 		standings[order] = known.standing(now)
 	}
