--- a/cmd/cobaltcroftd/gateway/rollouts.go
+++ b/cmd/cobaltcroftd/gateway/rollouts.go
@@ -30,7 +30,7 @@
 func (g *Gateway) lacksVersions(view *discovery.View) bool {
 	for _, order := range view.Rollouts().Orders {
 		of, others := view.Fleet.CountVersions(order)
-		withheld := view.Fleet.Standing(order.Revision).Exposure == fleet.Withheld
+		withheld := view.Fleet.RolloutState(order.Revision).Exposure == fleet.Withheld
 		if withheld && of > 0 && others == 0 && g.rollouts.Awaits(order) {
 			return true
 		}
--- a/pkg/fleet/versions.go
+++ b/pkg/fleet/versions.go
@@ -111,8 +111,8 @@
 // Rollouts returns the rollouts in force.
 func (s *Snapshot) Rollouts() Rollouts { return s.rollouts }
 
-// Standing returns the state of the rollout with the given order revision.
-func (s *Snapshot) Standing(order uint64) RolloutState { return s.standings[order] }
+// RolloutState returns the state of the rollout with the given order revision.
+func (s *Snapshot) RolloutState(order uint64) RolloutState { return s.standings[order] }
 
 // Trial returns the trial of a service. It has no endpoints if no version is being tried.
 func (s *Snapshot) Trial(service string) Trial { return s.trials[service] }
--- a/pkg/rollout/model_test.go
+++ b/pkg/rollout/model_test.go
@@ -382,7 +382,7 @@
 				m.bad = behaviour{only: -1}
 				m.play(time.Second, 20)
 				m.order()
-				proven := func() bool { return m.instances[3].snapshot.Standing(orderAt).Exposure == fleet.Proven }
+				proven := func() bool { return m.instances[3].snapshot.RolloutState(orderAt).Exposure == fleet.Proven }
 				for begin := m.clock.Now(); !proven() && m.clock.Since(begin) < over; {
 					m.step(20)
 				}
