--- a/pkg/discovery/rolling.go
+++ b/pkg/discovery/rolling.go
@@ -68,6 +68,6 @@
 type standingsUpdate fleet.RolloutStates
 
 func (n standingsUpdate) apply(_ *Follower, view *View) func() {
-	view.updateSnapshots(func(s *fleet.Snapshot) *fleet.Snapshot { return s.WithStandings(fleet.RolloutStates(n)) })
+	view.updateSnapshots(func(s *fleet.Snapshot) *fleet.Snapshot { return s.WithRolloutStates(fleet.RolloutStates(n)) })
 	return nil
 }
--- a/pkg/fleet/editing_test.go
+++ b/pkg/fleet/editing_test.go
@@ -65,7 +65,7 @@
 				"a standing": func(t *rapid.T) {
 					if order, found := s.Rollouts().ForService("s"); found {
 						exposure := fleet.Exposure(rapid.IntRange(0, 3).Draw(t, "exposure"))
-						s = s.WithStandings(fleet.RolloutStates{order.Revision: {Exposure: exposure, Share: 0.5}})
+						s = s.WithRolloutStates(fleet.RolloutStates{order.Revision: {Exposure: exposure, Share: 0.5}})
 					}
 				},
 				"": func(t *rapid.T) {
--- a/pkg/fleet/versions.go
+++ b/pkg/fleet/versions.go
@@ -98,8 +98,8 @@
 	return false
 }
 
-// WithStandings returns the snapshot with the given standings, or s if they are unchanged.
-func (s *Snapshot) WithStandings(standings RolloutStates) *Snapshot {
+// WithRolloutStates returns the snapshot with the given standings, or s if they are unchanged.
+func (s *Snapshot) WithRolloutStates(standings RolloutStates) *Snapshot {
 	if maps.Equal(s.standings, standings) {
 		return s
 	}
--- a/pkg/fleet/versions_test.go
+++ b/pkg/fleet/versions_test.go
@@ -29,7 +29,7 @@
 	}
 	toV2 := fleet.Rollout{Service: "s", Version: "v2", OverMs: 1000, Revision: order}
 	stand := func(exposure fleet.Exposure, share float64) {
-		s = s.WithStandings(fleet.RolloutStates{order: {Exposure: exposure, Share: share}})
+		s = s.WithRolloutStates(fleet.RolloutStates{order: {Exposure: exposure, Share: share}})
 	}
 
 	BeforeEach(func() {
@@ -142,7 +142,7 @@
 				"a standing": func(t *rapid.T) {
 					if o, found := all.Rollouts().ForService("s"); found {
 						exposure := rapid.SampledFrom([]fleet.Exposure{fleet.Withheld, fleet.Tried, fleet.Refuted}).Draw(t, "exposure")
-						all = all.WithStandings(fleet.RolloutStates{o.Revision: {Exposure: exposure, Share: 0.1}})
+						all = all.WithRolloutStates(fleet.RolloutStates{o.Revision: {Exposure: exposure, Share: 0.1}})
 					}
 				},
 				"": func(t *rapid.T) {
--- a/pkg/rollout/model_test.go
+++ b/pkg/rollout/model_test.go
@@ -193,7 +193,7 @@
 func (i *node) Versions(order fleet.Rollout) (of, others int) { return i.snapshot.CountVersions(order) }
 
 func (i *node) Stand(_ context.Context, standings fleet.RolloutStates) {
-	i.snapshot = i.snapshot.WithStandings(standings)
+	i.snapshot = i.snapshot.WithRolloutStates(standings)
 }
 
 // serve has the instance serve a request.
