--- a/cmd/cobaltcroftd/gateway/rollouts.go
+++ b/cmd/cobaltcroftd/gateway/rollouts.go
@@ -46,5 +46,5 @@
 
 // Stand implements rollout.View.
 func (r rolling) Stand(ctx context.Context, standings fleet.RolloutStates) {
-	r.follower.SetStandings(ctx, standings)
+	r.follower.SetRolloutStates(ctx, standings)
 }
--- a/pkg/discovery/rolling.go
+++ b/pkg/discovery/rolling.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// SetStandings applies the standings of the rollouts that this instance has to follow. It returns once
+// SetRolloutStates applies the standings of the rollouts that this instance has to follow. It returns once
 // they are in the view or ctx is done.
-func (f *Follower) SetStandings(ctx context.Context, standings fleet.RolloutStates) {
+func (f *Follower) SetRolloutStates(ctx context.Context, standings fleet.RolloutStates) {
 	f.deliver(ctx, standingsUpdate(standings))
 }
 
