--- a/pkg/discovery/rolling.go
+++ b/pkg/discovery/rolling.go
@@ -58,16 +58,16 @@
 	}
 }
 
-// SetRolloutStates applies the standings of the rollouts that this instance has to follow. It returns once
+// SetRolloutStates applies the states of the rollouts that this instance follows. It returns once
 // they are in the view or ctx is done.
-func (f *Follower) SetRolloutStates(ctx context.Context, standings fleet.RolloutStates) {
-	f.deliver(ctx, standingsUpdate(standings))
+func (f *Follower) SetRolloutStates(ctx context.Context, states fleet.RolloutStates) {
+	f.deliver(ctx, rolloutStatesUpdate(states))
 }
 
-// standingsUpdate contains the standings of the rollouts.
-type standingsUpdate fleet.RolloutStates
+// rolloutStatesUpdate contains the states of the rollouts.
+type rolloutStatesUpdate fleet.RolloutStates
 
-func (n standingsUpdate) apply(_ *Follower, view *View) func() {
+func (n rolloutStatesUpdate) apply(_ *Follower, view *View) func() {
 	view.updateSnapshots(func(s *fleet.Snapshot) *fleet.Snapshot { return s.WithRolloutStates(fleet.RolloutStates(n)) })
 	return nil
 }
--- a/pkg/discovery/rolling_test.go
+++ b/pkg/discovery/rolling_test.go
@@ -45,7 +45,7 @@
 		store.state = inDomains(5)
 	})
 
-	It("is known as soon as it is given, and its version gets no requests before its standing allows it", func() {
+	It("is known as soon as it is given, and its version gets no requests before its rollout state allows it", func() {
 		f := follow()
 		Eventually(func() bool { return f.View().Complete() }).Should(BeTrue())
 		store.set(func(s *fakeSource) {
--- a/pkg/fleet/editing_test.go
+++ b/pkg/fleet/editing_test.go
@@ -62,7 +62,7 @@
 					order := fleet.RolloutOrder{Rollout: fleet.Rollout{Service: "s", Version: "v2", Revision: revision}, Ended: rapid.Bool().Draw(t, "ended")}
 					s = s.WithRollouts(s.Rollouts().With(revision, []fleet.RolloutOrder{order}))
 				},
-				"a standing": func(t *rapid.T) {
+				"a rollout state": func(t *rapid.T) {
 					if order, found := s.Rollouts().ForService("s"); found {
 						exposure := fleet.Exposure(rapid.IntRange(0, 3).Draw(t, "exposure"))
 						s = s.WithRolloutStates(fleet.RolloutStates{order.Revision: {Exposure: exposure, Share: 0.5}})
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -63,11 +63,11 @@
 	returnedAt  map[string]uint64
 	// departures contains the endpoints that have announced their departure in a response.
 	departures Departures
-	// rollouts contains the orders to move traffic between versions, and standings their state.
-	rollouts  Rollouts
-	standings RolloutStates
-	versions  versionRevisions
-	withdrawn withdrawnVersions
+	// rollouts contains the orders to move traffic between versions, and rolloutStates their state.
+	rollouts      Rollouts
+	rolloutStates RolloutStates
+	versions      versionRevisions
+	withdrawn     withdrawnVersions
 	// trials contains the trials by service. barred contains the IDs of endpoints by service that
 	// get no work because of their version.
 	trials map[string]Trial
--- a/pkg/fleet/versions.go
+++ b/pkg/fleet/versions.go
@@ -52,14 +52,14 @@
 type withdrawnVersions map[string]map[string]bool
 
 // after returns the withdrawn versions after the orders change from before to now.
-func (w withdrawnVersions) after(before, now Rollouts, standings RolloutStates) withdrawnVersions {
+func (w withdrawnVersions) after(before, now Rollouts, states RolloutStates) withdrawnVersions {
 	grown := make(withdrawnVersions, len(w))
 	for service, all := range w {
 		grown[service] = maps.Clone(all)
 	}
 	for _, order := range before.Orders {
 		next, ordered := now.ForService(order.Service)
-		if standings[order.Revision].Exposure == Proven || ordered && next.Version == order.Version {
+		if states[order.Revision].Exposure == Proven || ordered && next.Version == order.Version {
 			continue
 		}
 		if grown[order.Service] == nil {
@@ -83,7 +83,7 @@
 	if r.Same(s.rollouts) && !s.anyUnverified() {
 		return &after
 	}
-	after.withdrawn = s.withdrawn.after(s.rollouts, r, s.standings)
+	after.withdrawn = s.withdrawn.after(s.rollouts, r, s.rolloutStates)
 	return after.classifyAll()
 }
 
@@ -98,13 +98,13 @@
 	return false
 }
 
-// WithRolloutStates returns the snapshot with the given standings, or s if they are unchanged.
-func (s *Snapshot) WithRolloutStates(standings RolloutStates) *Snapshot {
-	if maps.Equal(s.standings, standings) {
+// WithRolloutStates returns the snapshot with the given rollout states, or s if they are unchanged.
+func (s *Snapshot) WithRolloutStates(states RolloutStates) *Snapshot {
+	if maps.Equal(s.rolloutStates, states) {
 		return s
 	}
 	after := *s
-	after.standings = standings
+	after.rolloutStates = states
 	return after.classifyAll()
 }
 
@@ -112,7 +112,7 @@
 func (s *Snapshot) Rollouts() Rollouts { return s.rollouts }
 
 // RolloutState returns the state of the rollout with the given order revision.
-func (s *Snapshot) RolloutState(order uint64) RolloutState { return s.standings[order] }
+func (s *Snapshot) RolloutState(order uint64) RolloutState { return s.rolloutStates[order] }
 
 // Trial returns the trial of a service. It has no endpoints if no version is being tried.
 func (s *Snapshot) Trial(service string) Trial { return s.trials[service] }
@@ -172,12 +172,12 @@
 	isNew := func(e Endpoint) bool { return e.Version == order.Version }
 	others := Exclude(kept, isNew)
 	target := Exclude(all, func(e Endpoint) bool { return !isNew(e) })
-	switch standing := s.standings[order.Revision]; {
-	case standing.Exposure == Proven && len(target) > 0:
+	switch state := s.rolloutStates[order.Revision]; {
+	case state.Exposure == Proven && len(target) > 0:
 		return target
-	case standing.Exposure == Tried && len(target) > 0 && len(others) > 0:
-		s.trials[service] = Trial{Order: order.Revision, Share: standing.Share, Endpoints: trialEndpoints(order, target, standing.Share, len(others))}
-	case standing.Exposure == Withheld && len(others) == 0 && s.versions[service][order.Version] < order.Revision:
+	case state.Exposure == Tried && len(target) > 0 && len(others) > 0:
+		s.trials[service] = Trial{Order: order.Revision, Share: state.Share, Endpoints: trialEndpoints(order, target, state.Share, len(others))}
+	case state.Exposure == Withheld && len(others) == 0 && s.versions[service][order.Version] < order.Revision:
 		// The version already had all traffic before the order.
 		return target
 	}
--- a/pkg/fleet/versions_test.go
+++ b/pkg/fleet/versions_test.go
@@ -52,7 +52,7 @@
 		Expect(ready()).To(HaveExactElements("a", "x"))
 	})
 
-	DescribeTable("of an order get the traffic that its standing allows",
+	DescribeTable("of an order get the traffic that its state allows",
 		func(exposure fleet.Exposure, used, trial, barred []string) {
 			s = s.WithRollouts(ordered(8, toV2))
 			stand(exposure, 0.5)
@@ -120,7 +120,7 @@
 		Expect(fleet.Trial{Share: 1}.Includes("request")).To(BeFalse(), "the trial has no endpoints")
 	})
 
-	It("of an order that is not proven are never ready, in whatever sequence entries, orders and standings arrive", func() {
+	It("of an order that is not proven are never ready, in whatever sequence entries, orders and states arrive", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			all := fleet.New(1, []fleet.Endpoint{endpoint("a", "v1")}).WithRollouts(ordered(1))
 			revision := uint64(1)
@@ -139,7 +139,7 @@
 					all = all.WithRollouts(ordered(revision, fleet.Rollout{Service: "s", Version: "v2", Revision: revision}))
 				},
 				"its end": func(*rapid.T) { revision++; all = all.WithRollouts(ordered(revision)) },
-				"a standing": func(t *rapid.T) {
+				"a rollout state": func(t *rapid.T) {
 					if o, found := all.Rollouts().ForService("s"); found {
 						exposure := rapid.SampledFrom([]fleet.Exposure{fleet.Withheld, fleet.Tried, fleet.Refuted}).Draw(t, "exposure")
 						all = all.WithRolloutStates(fleet.RolloutStates{o.Revision: {Exposure: exposure, Share: 0.1}})
