--- a/pkg/discovery/view.go
+++ b/pkg/discovery/view.go
@@ -109,7 +109,7 @@
 // knownRevision returns the revision up to which documents are in force, resolved or announced.
 func (v *View) knownRevision() uint64 { return max(v.resolvedRevision(), v.announced.newest) }
 
-// Lacking reports whether a newer document than the one in force is known to exist, and since how
+// Lacking reports whether a newer document than the one in force is known to exist, and for how
 // long.
 func (v *View) Lacking(now time.Time) (time.Duration, bool) {
 	if v.announced.newest <= v.resolvedRevision() {
@@ -155,7 +155,8 @@
 	return true
 }
 
-// documentActivated resets the start of the lack of a document after a newer one was put in force.
+// documentActivated updates lackingSince after a newer document was put in force. A document that is
+// still missing has been known since newestAt.
 func (v *View) documentActivated(now time.Time) {
 	if _, lacks := v.Lacking(now); lacks {
 		v.announced.lackingSince = v.announced.newestAt
