--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -211,14 +211,14 @@
 	g.metrics.NewGauge("cobaltcroft_held_bytes", func() float64 { return float64(g.held.Used()) })
 	table := quarantine.New(g.clock, g.logs.For("quarantine"))
 	// The group is created below, before the first request.
-	broadcast := func() { g.group.TellAll() }
+	broadcast := func() { g.group.NotifyAll() }
 	g.quarantine = quarantine.NewManager(table, g.store, broadcast, g.clock, g.logs.For("quarantine"))
 	g.metrics.NewGauge("cobaltcroft_quarantined_requests", func() float64 { return float64(g.quarantine.Count()) })
 	g.usage = peers.NewUsage(g.metrics)
 	g.client = peers.NewClient(s.Instance, s.PeerToken, g.usage)
 	g.gossip = peers.NewGossip(g.listeners.heartbeat, s.PeerToken, timeline.NewClock(g.clock), ratelimit.NewSplitter(g.clock), g.metrics, g.logs.For("peers"), func(membership.Self, uint64) {})
 	g.group = group.New(g.groupSettings(self), g.gossip, g.clock, g.logs.For("peers"))
-	g.follower = discovery.New(g.store, &handover.Knowledge{Client: g.client, Self: self, Live: g.group.Live, Contacts: s.Peers, Tell: g.group.Tell}, g.clock, g.logs.For("discovery"))
+	g.follower = discovery.New(g.store, &handover.Knowledge{Client: g.client, Self: self, Live: g.group.Live, Contacts: s.Peers, Tell: g.group.Notify}, g.clock, g.logs.For("discovery"))
 	g.unreadNotices = g.metrics.NewCounter("cobaltcroft_notices_unread_total")
 	g.rateLimits = throttle.NewTable(g.clock, g.logs.For("throttle"))
 	permitPeers := &handover.Permits{Client: g.client, Instance: self, Stopping: g.stopping.begun, Members: g.group.Live, Departing: g.group.Leaving}
@@ -236,7 +236,7 @@
 		Self:     self,
 		Live:     g.group.Live,
 		Leaving:  g.group.Leaving,
-		Tell:     g.group.TellAll,
+		Tell:     g.group.NotifyAll,
 		Contacts: s.Peers,
 		Client:   g.client,
 		Planner:  planner,
@@ -417,7 +417,7 @@
 
 // canServe reports whether the instance knows enough to serve requests.
 func (g *Gateway) canServe(view *discovery.View) bool {
-	return view.Complete() && view.Fleet.Any() && !view.Behind(g.clock.Now()) && !g.awaitsInstruction(view)
+	return view.Complete() && view.Fleet.HasEndpoints() && !view.Behind(g.clock.Now()) && !g.awaitsInstruction(view)
 }
 
 // handleSignals processes signals and changes of the settings file until the instance has shut
--- a/cmd/cobaltcroftd/gateway/gossip.go
+++ b/cmd/cobaltcroftd/gateway/gossip.go
@@ -12,22 +12,22 @@
 // others.
 func (g *Gateway) groupSettings(self membership.Self) group.Settings {
 	return group.Settings{
-		Self:           self,
-		Contacts:       g.settings.Peers,
-		Heartbeat:      heartbeat,
-		SuspectAfter:   suspectAfter,
-		Claims:         g.claims,
-		HeardClaims:    g.receiveClaims,
-		Division:       g.division,
-		HeardDivision:  g.receiveDivision,
-		Revision:       g.documentRevision,
-		HeardRevision:  g.receiveRevision,
-		Ends:           g.quarantine.Recent,
-		HeardEnds:      g.quarantine.Merge,
-		Departing:      g.departing,
-		HeardDeparting: g.receiveDeparting,
-		Limits:         g.recentLimits,
-		HeardLimits:    g.receiveLimits,
+		Self:         self,
+		Contacts:     g.settings.Peers,
+		Heartbeat:    heartbeat,
+		SuspectAfter: suspectAfter,
+		Claims:       g.claims,
+		OnClaims:     g.receiveClaims,
+		Division:     g.division,
+		OnDivision:   g.receiveDivision,
+		Revision:     g.documentRevision,
+		OnRevision:   g.receiveRevision,
+		Ends:         g.quarantine.Recent,
+		OnEnds:       g.quarantine.Merge,
+		Departing:    g.departing,
+		OnDeparting:  g.receiveDeparting,
+		Limits:       g.recentLimits,
+		OnLimits:     g.receiveLimits,
 	}
 }
 
@@ -42,13 +42,13 @@
 
 // documentRevision and receiveRevision exchange the revision of the configuration in force.
 func (g *Gateway) documentRevision() uint64 { return g.follower.View().Document.Revision }
-func (g *Gateway) receiveRevision(r uint64) { g.follower.Heard(r) }
+func (g *Gateway) receiveRevision(r uint64) { g.follower.ObserveRevision(r) }
 
 // departing and receiveDeparting exchange the endpoints that have announced to leave.
 func (g *Gateway) departing(n int) []string { return g.follower.Departing(n) }
 
 func (g *Gateway) receiveDeparting(incarnations []string) {
-	g.follower.Depart(discovery.Peer, incarnations...)
+	g.follower.MarkDeparting(discovery.FromPeer, incarnations...)
 }
 
 // recentLimits and receiveLimits exchange the rate limits of endpoints.
--- a/cmd/cobaltcroftd/gateway/notices.go
+++ b/cmd/cobaltcroftd/gateway/notices.go
@@ -43,7 +43,7 @@
 	g.logUnknownTerms(target, h)
 	n := platform.Notice(uri, status, h)
 	if n.Leaving {
-		g.follower.Depart(discovery.Answer, target.ID)
+		g.follower.MarkDeparting(discovery.FromResponse, target.ID)
 	}
 	if n.Backoff > 0 {
 		g.backoffs.Start(target.ID, n.Backoff)
--- a/cmd/cobaltcroftd/gateway/rollouts.go
+++ b/cmd/cobaltcroftd/gateway/rollouts.go
@@ -22,7 +22,7 @@
 
 // Versions implements rollout.View.
 func (r rolloutView) Versions(order fleet.Rollout) (of, others int) {
-	return r.follower.View().Fleet.Versions(order)
+	return r.follower.View().Fleet.CountVersions(order)
 }
 
 // awaitsInstruction reports whether a service has only endpoints of a version that is still
@@ -30,8 +30,8 @@
 // it already.
 func (g *Gateway) awaitsInstruction(view *discovery.View) bool {
 	for _, order := range view.Rollouts().Orders {
-		of, others := view.Fleet.Versions(order)
-		withheld := view.Fleet.Standing(order.Revision).Exposure == fleet.Withheld
+		of, others := view.Fleet.CountVersions(order)
+		withheld := view.Fleet.RolloutState(order.Revision).Exposure == fleet.Withheld
 		if withheld && of > 0 && others == 0 && g.rollouts.AwaitsInstruction(order) {
 			return true
 		}
@@ -46,6 +46,6 @@
 }
 
 // SetStandings implements rollout.View.
-func (r rolloutView) SetStandings(ctx context.Context, standings fleet.Standings) {
-	r.follower.Stand(ctx, standings)
+func (r rolloutView) SetStandings(ctx context.Context, standings fleet.RolloutStates) {
+	r.follower.SetRolloutStates(ctx, standings)
 }
--- /dev/null
+++ b/pkg/discovery/evacuations.go
@@ -0,0 +1,82 @@
+package discovery
+
+import (
+	"github.com/sirupsen/logrus"
+
+	"github.com/cobaltcroft/cobaltcroft/pkg/fleet"
+)
+
+// orders contains the evacuations and rollouts that the source returned as of a revision: those
+// given after since, or all that are in force if since is 0. The zero value contains none.
+type orders struct {
+	since       uint64
+	at          uint64
+	evacuations []fleet.Evacuation
+	rollouts    []fleet.RolloutOrder
+}
+
+// contiguous reports whether no order is missing between the view's orders and these.
+func (o orders) contiguous(known *View) bool { return o.since <= known.ordersRevision() }
+
+// applyEvacuations returns the evacuations in force after the orders are applied to known. It
+// returns known if the orders are older.
+func (o orders) applyEvacuations(known fleet.Evacuations) fleet.Evacuations {
+	if o.at <= known.Revision {
+		return known
+	}
+	if o.since == 0 {
+		known = fleet.Evacuations{}
+	}
+	return known.With(o.at, o.evacuations)
+}
+
+// updateEvacuations applies evacuations to the view and reports whether they changed. Evacuations
+// older than the view's are ignored.
+func (f *Follower) updateEvacuations(view *View, e fleet.Evacuations) bool {
+	before := view.Evacuations()
+	view.listed = view.listed.WithEvacuations(e)
+	updated := view.Evacuations()
+	if updated.Same(before) {
+		return false
+	}
+	view.Fleet = f.outageGrace.retain(f.clock.Now(), view.Fleet, view.listed)
+	evacuated, returned := updated.Changed(before)
+	for _, domain := range evacuated {
+		f.logEvacuation("domain_evacuated", domain, view)
+	}
+	for _, domain := range returned {
+		f.logEvacuation("domain_returned", domain, view)
+	}
+	return true
+}
+
+// logEvacuation logs a change of a failure domain. The number of endpoints helps to spot a misspelt
+// name.
+func (f *Follower) logEvacuation(event, domain string, view *View) {
+	f.log.WithFields(logrus.Fields{
+		"event": event, "domain": domain, "endpoints": view.listed.CountInDomain(domain), "revision": view.Evacuations().Revision,
+	}).Info()
+}
+
+// logInvalidEvacuations logs orders without a failure domain, which are ignored.
+func (f *Follower) logInvalidEvacuations(given []fleet.Evacuation, revision uint64) {
+	for _, order := range given {
+		if order.Domain == "" {
+			f.log.WithFields(logrus.Fields{"event": "evacuation_refused", "revision": revision}).Warn("evacuation order names no failure domain; remove it and create one that does")
+		}
+	}
+}
+
+// notifyIf returns the function to call after an update. If the update changed data that is relayed
+// to other instances, the function notifies the waiting requests first.
+func (f *Follower) notifyIf(changed bool, then func()) func() {
+	if !changed {
+		return then
+	}
+	return func() {
+		f.history.notifyWaiters()
+		if then != nil {
+			then()
+		}
+	}
+}
--- a/pkg/fleet/editing_test.go
+++ b/pkg/fleet/edit_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = Describe("a snapshot of which a few endpoints change", func() {
-	It("is as one that is made of all its entries at once, in whatever order changes come", func() {
+	It("equals one built from all entries at once, in whatever order changes arrive", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			s := fleet.New(1, nil)
 			entries := map[string]fleet.Endpoint{}
@@ -50,35 +50,35 @@
 				"an evacuation": func(t *rapid.T) {
 					revision++
 					evacuated = evacuated.With(revision, []fleet.Evacuation{{Domain: domain.Draw(t, "domain"), Ended: rapid.Bool().Draw(t, "ended")}})
-					s = s.Evacuate(evacuated)
+					s = s.WithEvacuations(evacuated)
 				},
 				"a departure": func(t *rapid.T) {
 					departed = maps.Clone(departed)
 					departed[entry(t).ID] = true
-					s = s.Depart(departed)
+					s = s.WithDepartures(departed)
 				},
 				"an order": func(t *rapid.T) {
 					revision++
 					order := fleet.RolloutOrder{Rollout: fleet.Rollout{Service: "s", Version: "v2", Revision: revision}, Ended: rapid.Bool().Draw(t, "ended")}
-					s = s.Roll(s.Rollouts().With(revision, []fleet.RolloutOrder{order}))
+					s = s.WithRollouts(s.Rollouts().With(revision, []fleet.RolloutOrder{order}))
 				},
-				"a standing": func(t *rapid.T) {
-					if order, found := s.Rollouts().Of("s"); found {
+				"a rollout state": func(t *rapid.T) {
+					if order, found := s.Rollouts().ForService("s"); found {
 						exposure := fleet.Exposure(rapid.IntRange(0, 3).Draw(t, "exposure"))
-						s = s.Stand(fleet.Standings{order.Revision: {Exposure: exposure, Share: 0.5}})
+						s = s.WithRolloutStates(fleet.RolloutStates{order.Revision: {Exposure: exposure, Share: 0.5}})
 					}
 				},
 				"": func(t *rapid.T) {
 					whole := s.Replace(s.Revision, slices.Collect(maps.Values(entries)))
 					if now, want := describe(s), describe(whole); now != want {
-						t.Fatalf("changed: %s\nmade at once: %s", now, want)
+						t.Fatalf("edited: %s\nbuilt at once: %s", now, want)
 					}
 				},
 			})
 		})
 	})
 
-	It("keeps the lists of the services that have not changed, so that what is made of them holds", func() {
+	It("reuses the lists of the services that have not changed", func() {
 		s := fleet.New(1, []fleet.Endpoint{{ID: "a", Service: "s"}, {ID: "b", Service: "t"}})
 		before := s.Ready("t")
 		s = s.With(2, []fleet.Change{{Endpoint: fleet.Endpoint{ID: "c", Service: "s"}}})
@@ -86,7 +86,7 @@
 		Expect(s.Ready("s")).To(HaveLen(2))
 	})
 
-	It("takes not many more allocations at ten times as many endpoints", func() {
+	It("does not allocate in proportion to the number of endpoints", func() {
 		allocated := func(n int) float64 {
 			s := fleet.New(1, manyEndpoints(n))
 			e := manyEndpoints(n)[n*3/4]
@@ -101,7 +101,7 @@
 	})
 })
 
-// describe is all that a snapshot tells of endpoints, in words.
+// describe formats everything that a snapshot reports about its endpoints.
 func describe(s *fleet.Snapshot) string {
 	var b strings.Builder
 	for _, service := range []string{"s", "t"} {
@@ -111,10 +111,10 @@
 	slices.SortFunc(all, func(a, b fleet.Endpoint) int { return strings.Compare(a.Name(), b.Name()) })
 	for _, e := range all {
 		known, found := s.Endpoint(e.ID)
-		fmt.Fprintln(&b, e, known, found, s.MayGetWork(e.ID), s.Barred(e.ID), s.Lists(e.Name()))
+		fmt.Fprintln(&b, e, known, found, s.MayGetWork(e.ID), s.Barred(e.ID), s.HasName(e.Name()))
 	}
 	undeclared := s.Undeclared()
 	slices.Sort(undeclared)
-	fmt.Fprintln(&b, undeclared, s.In("x"))
+	fmt.Fprintln(&b, undeclared, s.CountInDomain("x"))
 	return b.String()
 }
--- a/pkg/gateway/backoff.go
+++ b/pkg/gateway/backoff.go
@@ -20,7 +20,7 @@
 // awaitBackoff waits until the first endpoint not yet tried is available, and reports whether one
 // may be chosen then.
 func (u *run) awaitBackoff(ctx context.Context) bool {
-	untried := fleet.Except(u.ready(u.service.Name), func(e fleet.Endpoint) bool { return u.tried[e.ID] })
+	untried := fleet.Exclude(u.ready(u.service.Name), func(e fleet.Endpoint) bool { return u.tried[e.ID] })
 	rest := u.Balancer.Backoff(untried)
 	if rest == 0 || u.backoffTooLong(rest) {
 		return false
--- a/pkg/gateway/canary.go
+++ b/pkg/gateway/canary.go
@@ -14,7 +14,7 @@
 // to that version again and each arrival counts.
 func (u *run) pickCanary(need balance.CallSpec) *balance.Call {
 	trial := u.View().Fleet.Trial(u.service.Name)
-	if u.attempts > 0 || !trial.Takes(u.request.ID) {
+	if u.attempts > 0 || !trial.Includes(u.request.ID) {
 		return nil
 	}
 	return u.Balancer.Pick(u.filterAllowed(trial.Endpoints), need)
--- a/pkg/gateway/regions.go
+++ b/pkg/gateway/regions.go
@@ -37,5 +37,5 @@
 	if u.allowedDomains == nil {
 		return endpoints
 	}
-	return fleet.Except(endpoints, func(e fleet.Endpoint) bool { return !slices.Contains(u.allowedDomains, e.FailureDomain) })
+	return fleet.Exclude(endpoints, func(e fleet.Endpoint) bool { return !slices.Contains(u.allowedDomains, e.FailureDomain) })
 }
--- a/pkg/notice/backoffs.go
+++ b/pkg/notice/backoffs.go
@@ -129,7 +129,7 @@
 	if b.active.Load() == 0 && !b.limits.Any() {
 		return endpoints
 	}
-	return fleet.Except(endpoints, func(e fleet.Endpoint) bool { return b.Remaining(e.ID) > 0 })
+	return fleet.Exclude(endpoints, func(e fleet.Endpoint) bool { return b.Remaining(e.ID) > 0 })
 }
 
 // List returns the remaining time of each requested backoff.
--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -66,7 +66,7 @@
 	// Versions counts the endpoints of the ordered version and of other versions.
 	Versions(order fleet.Rollout) (of, others int)
 	// SetStandings applies the standings of the rollouts.
-	SetStandings(ctx context.Context, standings fleet.Standings)
+	SetStandings(ctx context.Context, standings fleet.RolloutStates)
 }
 
 const (
@@ -116,7 +116,7 @@
 	// spawn runs a call without waiting for it.
 	spawn func(call func())
 	// lastStandings are the standings last passed to the view. Only the goroutine of Run uses it.
-	lastStandings fleet.Standings
+	lastStandings fleet.RolloutStates
 }
 
 // conductedRollout is a rollout that this instance conducts.
@@ -252,7 +252,7 @@
 
 // Answer processes a report as conductor. If the order is unknown here, the version is withheld.
 func (m *Manager) Answer(r Report) Instruction {
-	order, ordered := m.view.Rollouts().Of(r.Service)
+	order, ordered := m.view.Rollouts().ForService(r.Service)
 	if !ordered || order.Revision != r.Order {
 		return Instruction{}
 	}
@@ -284,7 +284,7 @@
 	defer m.mu.Unlock()
 	var due []*conductedRollout
 	for revision, c := range m.conducted {
-		inForce, ordered := fleet.Rollouts{Orders: orders}.Of(c.Order().Service)
+		inForce, ordered := fleet.Rollouts{Orders: orders}.ForService(c.Order().Service)
 		switch {
 		case !ordered:
 			c.Withdraw()
--- a/pkg/rollout/model_test.go
+++ b/pkg/rollout/model_test.go
@@ -116,7 +116,7 @@
 
 func (m *model) start(name string, incarnation uint64) *node {
 	i := &node{model: m, name: name, incarnation: incarnation}
-	i.snapshot = fleet.New(1, endpoints("v1", 6)).Roll(fleet.Rollouts{Revision: 4})
+	i.snapshot = fleet.New(1, endpoints("v1", 6)).WithRollouts(fleet.Rollouts{Revision: 4})
 	i.manager = rollout.NewManager(i, i, i, share, m.clock, logging.Discard().For("rollout"))
 	i.manager.RunSynchronously()
 	if m.ordered.Known() {
@@ -134,7 +134,7 @@
 }
 
 func (i *node) order() {
-	i.snapshot = i.snapshot.Roll(i.ordered).Replace(orderAt+1, append(endpoints("v1", 6), endpoints("v2", 6)...))
+	i.snapshot = i.snapshot.WithRollouts(i.ordered).Replace(orderAt+1, append(endpoints("v1", 6), endpoints("v2", 6)...))
 }
 
 func (m *model) order() {
@@ -191,17 +191,17 @@
 
 func (i *node) Rollouts() fleet.Rollouts { return i.snapshot.Rollouts() }
 
-func (i *node) Versions(order fleet.Rollout) (of, others int) { return i.snapshot.Versions(order) }
+func (i *node) Versions(order fleet.Rollout) (of, others int) { return i.snapshot.CountVersions(order) }
 
-func (i *node) SetStandings(_ context.Context, standings fleet.Standings) {
-	i.snapshot = i.snapshot.Stand(standings)
+func (i *node) SetStandings(_ context.Context, standings fleet.RolloutStates) {
+	i.snapshot = i.snapshot.WithRolloutStates(standings)
 }
 
 // serve serves one request.
 func (i *node) serve(id string) {
 	now := i.clock.Now()
 	e := fleet.Endpoint{Version: "none"}
-	if trial := i.snapshot.Trial("s"); trial.Takes(id) {
+	if trial := i.snapshot.Trial("s"); trial.Includes(id) {
 		e = trial.Endpoints[0]
 	} else if ready := i.snapshot.Ready("s"); len(ready) > 0 {
 		e = ready[i.random.IntN(len(ready))]
@@ -383,7 +383,7 @@
 				m.bad = behaviour{route: -1}
 				m.run(time.Second, 20)
 				m.order()
-				proven := func() bool { return m.instances[3].snapshot.Standing(orderAt).Exposure == fleet.Proven }
+				proven := func() bool { return m.instances[3].snapshot.RolloutState(orderAt).Exposure == fleet.Proven }
 				for begin := m.clock.Now(); !proven() && m.clock.Since(begin) < over; {
 					m.step(20)
 				}
@@ -420,11 +420,11 @@
 		m := newModel(1, 4)
 		m.bad = behaviour{route: -1}
 		for _, i := range m.instances {
-			i.snapshot = fleet.New(1, endpoints("v2", 6)).Roll(fleet.Rollouts{Revision: 4})
+			i.snapshot = fleet.New(1, endpoints("v2", 6)).WithRollouts(fleet.Rollouts{Revision: 4})
 		}
 		m.ordered = fleet.Rollouts{Revision: orderAt, Orders: []fleet.Rollout{{Service: "s", Version: "v2", OverMs: over.Milliseconds(), Revision: orderAt}}}
 		for _, i := range m.instances {
-			i.snapshot = i.snapshot.Roll(m.ordered)
+			i.snapshot = i.snapshot.WithRollouts(m.ordered)
 		}
 		m.run(5*time.Second, 20)
 		Expect(m.record.State).To(Equal(rollout.Completed))
--- a/pkg/rollout/participant.go
+++ b/pkg/rollout/participant.go
@@ -170,20 +170,20 @@
 
 // standing returns the standing of the rollout. Instructions expire, because a later one that
 // refutes the version may have been lost.
-func (p *participation) standing(now time.Time) fleet.Standing {
+func (p *participation) standing(now time.Time) fleet.RolloutState {
 	forGood := p.instruction.Recorded || p.instruction.State == Reverted
 	if !forGood && now.After(p.validUntil) {
-		return fleet.Standing{}
+		return fleet.RolloutState{}
 	}
-	return fleet.Standing{Exposure: p.instruction.Exposure, Share: p.instruction.Share}
+	return fleet.RolloutState{Exposure: p.instruction.Exposure, Share: p.instruction.Share}
 }
 
 // Standings returns the standings of all rollouts.
-func (p *Participant) Standings() fleet.Standings {
+func (p *Participant) Standings() fleet.RolloutStates {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	standings := make(fleet.Standings, len(p.participations))
+	standings := make(fleet.RolloutStates, len(p.participations))
 	for order, known := range p.participations {
 		standings[order] = known.standing(now)
 	}
--- a/pkg/rollout/status.go
+++ b/pkg/rollout/status.go
@@ -47,7 +47,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	standing := fleet.Standing{}
+	standing := fleet.RolloutState{}
 	if known := p.participations[entry.Order]; known != nil {
 		standing = known.standing(now)
 		entry.AgeMs, entry.State, entry.Recorded = now.Sub(known.knownSince).Milliseconds(), known.instruction.State, known.instruction.Recorded
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -111,10 +111,10 @@
 			return nil, err
 		}
 		wait := min(maxRelayWait, time.Duration(call.WaitMs)*time.Millisecond)
-		told := h.follower.Relay(discovery.RelaySelect{Since: call.Since, Document: call.Document, Evacuations: call.Evacuations, Rollouts: call.Rollouts, Wait: wait})
+		told := h.follower.Relay(discovery.RelayRequest{Since: call.Since, Document: call.Document, Evacuations: call.Evacuations, Rollouts: call.Rollouts, Wait: wait})
 		return h.packing.changes(call.Since, told, call.Packs), nil
 	case api.MethodPiece:
-		call, err := peers.Params[discovery.PieceSelect](method, raw)
+		call, err := peers.Params[discovery.PieceRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
@@ -136,7 +136,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return h.packing.state(h.follower.Known(call.NewerThan), call.Packs), nil
+		return h.packing.state(h.follower.LocalState(call.NewerThan), call.Packs), nil
 	}
 	return nil, peers.UnknownMethod(method)
 }
--- a/service/handover/knowledge.go
+++ b/service/handover/knowledge.go
@@ -37,7 +37,7 @@
 var _ discovery.Peers = (*Knowledge)(nil)
 
 // State implements discovery.Peers: it asks one of the peers, another each time.
-func (k *Knowledge) State(ctx context.Context, newerThan uint64) (discovery.Known, error) {
+func (k *Knowledge) State(ctx context.Context, newerThan uint64) (discovery.PeerState, error) {
 	addresses := k.Contacts
 	if live := k.Live(); len(live) > 0 {
 		addresses = nil
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(addresses) == 0 {
-		return discovery.Known{}, problem.New(problem.Unavailable, "name some peers in the settings", "no peer is known")
+		return discovery.PeerState{}, problem.New(problem.Unavailable, "name some peers in the settings", "no peer is known")
 	}
 	var known api.Known
 	err := k.Client.Call(ctx, addresses[rand.IntN(len(addresses))], api.MethodState, api.StateSelect{NewerThan: newerThan, Packs: true}, &known)
@@ -54,9 +54,9 @@
 		err = unpack(known.PackedEndpoints, &known.State.Endpoints)
 	}
 	for i, e := range known.State.Endpoints {
-		known.State.Endpoints[i] = fleet.Told(e)
+		known.State.Endpoints[i] = fleet.RestoreEntry(e)
 	}
-	return known.Known, err
+	return known.PeerState, err
 }
 
 // Relays implements discovery.Peers: in a failure domain with many instances, the first two of
@@ -119,7 +119,7 @@
 func relayWeight(s membership.Self) uint64 { return xxhash.Sum64String("relay/" + s.Name) }
 
 // Relay implements discovery.Peers.
-func (k *Knowledge) Relay(ctx context.Context, relay string, selection discovery.RelaySelect) (discovery.Relayed, error) {
+func (k *Knowledge) Relay(ctx context.Context, relay string, selection discovery.RelayRequest) (discovery.RelayResponse, error) {
 	var relayed api.Relayed
 	call := api.RelaySelect{Since: selection.Since, Document: selection.Document, Evacuations: selection.Evacuations, Rollouts: selection.Rollouts, WaitMs: selection.Wait.Milliseconds(), Packs: true}
 	err := k.Client.Call(ctx, relay, api.MethodFollow, call, &relayed)
@@ -127,9 +127,9 @@
 		err = unpack(relayed.PackedChanges, &relayed.Changes.Endpoints)
 	}
 	for i, c := range relayed.Changes.Endpoints {
-		relayed.Changes.Endpoints[i].Endpoint = fleet.Told(c.Endpoint)
+		relayed.Changes.Endpoints[i].Endpoint = fleet.RestoreEntry(c.Endpoint)
 	}
-	return relayed.Relayed, err
+	return relayed.RelayResponse, err
 }
 
 // Holders implements discovery.Peers: those of the own failure domain come first, and among
@@ -159,7 +159,7 @@
 }
 
 // Piece implements discovery.Peers.
-func (k *Knowledge) Piece(ctx context.Context, peer string, selection discovery.PieceSelect) (discovery.Piece, error) {
+func (k *Knowledge) Piece(ctx context.Context, peer string, selection discovery.PieceRequest) (discovery.Piece, error) {
 	selection.Asker = k.Self.Name
 	var piece discovery.Piece
 	err := k.Client.Call(ctx, peer, api.MethodPiece, selection, &piece)
--- a/service/handover/packing_test.go
+++ b/service/handover/packing_test.go
@@ -55,21 +55,21 @@
 	BeforeEach(func() { p = &packing{} })
 
 	many := manyEndpoints(200)
-	known := discovery.Known{State: discovery.State{Revision: 9, Endpoints: many}, Mark: discovery.Mark{Revision: 4}}
-	relayed := discovery.Relayed{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many)}, Mark: discovery.Mark{Revision: 4}}
+	known := discovery.PeerState{State: discovery.State{Revision: 9, Endpoints: many}, Status: discovery.DocumentStatus{Revision: 4}}
+	relayed := discovery.RelayResponse{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many)}, Status: discovery.DocumentStatus{Revision: 4}}
 
 	It("are all endpoints that a peer knows", func() {
 		read := overWire(p.state(known, true))
 		Expect(read.State.Endpoints).To(BeEmpty())
 		Expect(unpack(read.PackedEndpoints, &read.State.Endpoints)).To(Succeed())
-		Expect(read.Known).To(Equal(known))
+		Expect(read.PeerState).To(Equal(known))
 	})
 
 	It("are the changes that a relay tells", func() {
 		read := overWire(p.changes(5, relayed, true))
 		Expect(read.Changes.Endpoints).To(BeEmpty())
 		Expect(unpack(read.PackedChanges, &read.Changes.Endpoints)).To(Succeed())
-		Expect(read.Relayed).To(Equal(relayed))
+		Expect(read.RelayResponse).To(Equal(relayed))
 	})
 
 	It("are packed once for all who ask the same, and anew for what differs", func() {
@@ -89,10 +89,10 @@
 	})
 
 	It("are told plainly to a version that does not read them, and where there are few", func() {
-		Expect(p.state(known, false)).To(Equal(api.Known{Known: known}))
-		Expect(p.changes(5, relayed, false)).To(Equal(api.Relayed{Relayed: relayed}))
-		few := discovery.Relayed{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many[:packedFrom-1])}}
-		Expect(p.changes(5, few, true)).To(Equal(api.Relayed{Relayed: few}))
+		Expect(p.state(known, false)).To(Equal(api.Known{PeerState: known}))
+		Expect(p.changes(5, relayed, false)).To(Equal(api.Relayed{RelayResponse: relayed}))
+		few := discovery.RelayResponse{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many[:packedFrom-1])}}
+		Expect(p.changes(5, few, true)).To(Equal(api.Relayed{RelayResponse: few}))
 	})
 
 	It("that are damaged are a problem, and nothing that a peer is believed", func() {
