--- a/service/handover/claims.go
+++ b/service/handover/claims.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	// newsFor is how long a claim of another instance is passed on after it was heard of;
-	// maxNews bounds how many are at a time, by the size of a heartbeat (about 50 bytes each).
-	newsFor = 5 * time.Second
-	maxNews = 4
+	// claimRelayPeriod is how long a claim received from another instance is relayed in heartbeats.
+	claimRelayPeriod = 5 * time.Second
+	// maxRelayedClaims bounds the relayed claims in one heartbeat, since a datagram is limited in size.
+	maxRelayedClaims = 4
 )
 
-// claims is the table of owners, guarded for the goroutines of requests. Safe for concurrent
-// use.
+// claims is the ownership table of this instance. Safe for concurrent use.
 type claims struct {
 	clock clockwork.Clock
 	log   *logrus.Entry
-	// changed is called when this instance decided who owns a part, lost when it was superseded,
-	// and won when it hears that it owns one. None may block.
-	changed func()
-	lost    func(ownership.Claim)
-	won     func(ownership.Claim)
-	// staysWith tells whether plans still go to an owner though another claims its part provisionally.
-	staysWith func(owner, claimer ownership.Owner) bool
-
-	mu    sync.Mutex
-	table *ownership.Table
-	news  []news
+	// onChange is called after this instance assigned or claimed a part, onLost when another
+	// instance superseded its claim, and onWon when a received claim names it as the owner. None of
+	// them may block.
+	onChange func()
+	onLost   func(ownership.Claim)
+	onWon    func(ownership.Claim)
+	// prefersOwner reports whether this instance keeps using owner while claimer holds a provisional
+	// claim.
+	prefersOwner func(owner, claimer ownership.Owner) bool
+
+	mu      sync.Mutex
+	table   *ownership.Table
+	relayed []relayedClaim
 }
 
-// news is a claim of another instance that was heard of lately.
-type news struct {
+// relayedClaim is a recently received claim of another instance, relayed until it expires.
+type relayedClaim struct {
 	claim ownership.Claim
 	until time.Time
 }
@@ -47,7 +48,7 @@
 	return &claims{clock: clock, log: log, table: ownership.NewTable(self)}
 }
 
-// holder returns the claim that holds for a part, as far as is known.
+// holder returns the claim in force for a part, if one is known.
 func (c *claims) holder(part pipeline.Part) (ownership.Claim, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +68,8 @@
 	return c.table.Own()
 }
 
-// holders returns the names of the instances that own a part of so many.
+// holders returns the names of the instances that own at least one part of a division into the
+// given number of parts.
 func (c *claims) holders(parts int) map[string]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,8 +82,8 @@
 	return names
 }
 
-// claim makes this instance the owner of a part, provisionally if another is known to own it, and tells
-// whether it was not the owner before. The cause is for the log.
+// claim makes this instance the owner of a part and reports whether it was not the owner before.
+// The claim is provisional if another owner is known. The cause is logged.
 func (c *claims) claim(part pipeline.Part, cause string) bool {
 	c.mu.Lock()
 	if c.table.Owns(part) {
@@ -95,12 +97,12 @@
 	}
 	after := claim(part)
 	c.mu.Unlock()
-	c.note(before, after, cause)
-	c.changed()
+	c.logChange(before, after, cause)
+	c.onChange()
 	return true
 }
 
-// confirm makes a provisional claim of this instance a certain one.
+// confirm turns a provisional claim of this instance into a confirmed one.
 func (c *claims) confirm(part pipeline.Part) {
 	c.mu.Lock()
 	before, _ := c.table.Holder(part)
@@ -108,13 +110,14 @@
 	after, _ := c.table.Holder(part)
 	c.mu.Unlock()
 	if confirmed {
-		c.note(before, after, "reaches_most")
-		c.changed()
+		c.logChange(before, after, "reaches_most")
+		c.onChange()
 	}
 }
 
-// provisional returns a provisional claim of this instance of a division into so many, and the claim that it
-// displaced, whose owner is the zero one if none is known; false if there is no such claim.
+// provisional returns a provisional claim of this instance in a division into the given number of
+// parts, and the claim that it displaced. The displaced claim is zero if none is known. found is
+// false if there is no provisional claim.
 func (c *claims) provisional(parts int) (own, displaced ownership.Claim, found bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,60 +135,61 @@
 	c.mu.Lock()
 	before, _ := c.table.Holder(part)
 	after := c.table.Assign(part, owner)
-	c.pass(after)
+	c.relay(after)
 	c.mu.Unlock()
-	c.note(before, after, cause)
-	c.changed()
+	c.logChange(before, after, cause)
+	c.onChange()
 	return after
 }
 
-// hear takes in what others tell.
-func (c *claims) hear(heard []ownership.Claim, cause string) {
+// merge merges received claims into the table and runs the callbacks for the changes. The cause is
+// logged.
+func (c *claims) merge(heard []ownership.Claim, cause string) {
 	c.mu.Lock()
 	self := c.table.Self()
-	changes := c.table.Hear(heard, c.staysWith)
+	changes := c.table.Hear(heard, c.prefersOwner)
 	for _, change := range changes {
-		c.pass(change.After)
+		c.relay(change.After)
 	}
 	c.mu.Unlock()
 	for _, change := range changes {
-		c.note(change.Before, change.After, cause)
+		c.logChange(change.Before, change.After, cause)
 		switch self {
 		case change.After.Owner:
-			c.won(change.After)
+			c.onWon(change.After)
 		case change.Before.Owner:
-			c.lost(change.After)
+			c.onLost(change.After)
 		}
 	}
 }
 
-// pass notes a claim that the others are told of for a while.
-func (c *claims) pass(claim ownership.Claim) {
+// relay queues a claim for relaying in the next heartbeats. The caller holds c.mu.
+func (c *claims) relay(claim ownership.Claim) {
 	if claim.Owner == c.table.Self() {
 		return
 	}
-	c.news = slices.DeleteFunc(c.news, func(n news) bool { return n.claim.Part == claim.Part })
-	c.news = append(c.news, news{claim, c.clock.Now().Add(newsFor)})
-	if len(c.news) > maxNews {
-		c.news = c.news[len(c.news)-maxNews:]
+	c.relayed = slices.DeleteFunc(c.relayed, func(n relayedClaim) bool { return n.claim.Part == claim.Part })
+	c.relayed = append(c.relayed, relayedClaim{claim, c.clock.Now().Add(claimRelayPeriod)})
+	if len(c.relayed) > maxRelayedClaims {
+		c.relayed = c.relayed[len(c.relayed)-maxRelayedClaims:]
 	}
 }
 
-// told returns what the others are told: the claims of this instance, and news.
-func (c *claims) told() []ownership.Claim {
+// advertised returns the claims to advertise: those of this instance and the recently received ones.
+func (c *claims) advertised() []ownership.Claim {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	told := c.table.Own()
+	list := c.table.Own()
 	now := c.clock.Now()
-	c.news = slices.DeleteFunc(c.news, func(n news) bool { return now.After(n.until) })
-	for _, n := range c.news {
-		told = append(told, n.claim)
+	c.relayed = slices.DeleteFunc(c.relayed, func(n relayedClaim) bool { return now.After(n.until) })
+	for _, n := range c.relayed {
+		list = append(list, n.claim)
 	}
-	return told
+	return list
 }
 
-// note logs a change of a part's owner.
-func (c *claims) note(before, after ownership.Claim, cause string) {
+// logChange logs an ownership change.
+func (c *claims) logChange(before, after ownership.Claim, cause string) {
 	c.log.WithFields(logrus.Fields{
 		"event": "owner", "part": after.Part.Number, "parts": after.Part.Of, "term": after.Term, "owner": after.Owner.Name, "provisional": after.Provisional,
 		"before": before.Owner.Name, "cause": cause,
--- a/service/handover/conducting.go
+++ b/service/handover/conducting.go
@@ -11,7 +11,8 @@
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
 )
 
-// Conducting reports rollouts to the instances that conduct them.
+// Conducting implements rollout.Peers: it sends rollout reports to the instances that conduct
+// rollouts.
 type Conducting struct {
 	Client   *peers.Client
 	Instance membership.Self
@@ -28,7 +29,8 @@
 // Incarnation implements rollout.Peers.
 func (c *Conducting) Incarnation() uint64 { return c.Instance.Incarnation }
 
-// Conductors implements rollout.Peers: those that are able come first, by rendezvous hashing.
+// Conductors implements rollout.Peers. Instances on capable machines come first, in rendezvous
+// hashing order.
 func (c *Conducting) Conductors(service string) []rollout.Peer {
 	weight := func(s membership.Self) uint64 { return xxhash.Sum64String("rollout/" + service + "/" + s.Name) }
 	list := []owner{{Self: c.Instance, weight: weight(c.Instance)}}
--- a/service/handover/divisions.go
+++ b/service/handover/divisions.go
@@ -15,43 +15,45 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/pipeline"
 )
 
-// divisions has the division of the stage endpoints that this instance goes by. Safe for
-// concurrent use.
+// divisions tracks the division of the stage endpoints that this instance uses. Safe for concurrent
+// use.
 type divisions struct {
 	clock clockwork.Clock
 	log   *logrus.Entry
-	// supply returns how many endpoints there are, of this instance's view.
+	// supply returns the endpoint counts as this instance sees them.
 	supply func() ownership.Supply
-	// regions has the region of each failure domain, and home is this instance's.
-	regions ownership.Regions
-	home    string
-	// changed is called when another division holds, decided when this instance decided on it.
-	// Neither may block.
-	changed func(ownership.Division)
-	decided func()
+	// regions maps failure domains to regions; homeRegion is the region of this instance.
+	regions    ownership.Regions
+	homeRegion string
+	// onChange is called when a new division takes effect, onDecision when this instance made the
+	// decision. Neither may block.
+	onChange   func(ownership.Division)
+	onDecision func()
 
 	mu      sync.Mutex
 	divider ownership.Divider
 }
 
-// partOf returns the part that a request falls to; if parts are cut by region one of a region.
+// partOf returns the part that a request maps to. If parts are assigned to regions, it is a part of
+// the given region.
 func (d *divisions) partOf(request, region string) pipeline.Part {
-	parts, number := d.inForce().Parts, xxhash.Sum64String(request)
+	parts, number := d.current().Parts, xxhash.Sum64String(request)
 	if d.regions.Cut(parts) {
 		return d.regions.Part(region, number, parts)
 	}
 	return pipeline.Part{Number: int(number % uint64(parts)), Of: parts}
 }
 
-// regionsFor returns the regions whose parts may make a request's stages, the best first: this instance's own, and others
-// by turns. Those that lack endpoints of a stage come last. It is one, of no name, if parts are not cut by region.
+// regionsFor returns the regions that may run a request, in order of preference: the home region,
+// then the others in a per-request order. Regions without endpoints for some stage come last. If
+// parts are not assigned to regions, the result is a single empty name.
 func (d *divisions) regionsFor(request string) []string {
-	if !d.regions.Cut(d.inForce().Parts) {
+	if !d.regions.Cut(d.current().Parts) {
 		return []string{""}
 	}
 	supply := d.supply().Regions
 	weight := func(region string) uint64 {
-		if region == d.home {
+		if region == d.homeRegion {
 			return math.MaxUint64
 		}
 		return xxhash.Sum64String(request + "/" + region)
@@ -63,8 +65,9 @@
 	return regions
 }
 
-// inForce returns the division that is gone by here; its term is 0 if it is not agreed on.
-func (d *divisions) inForce() ownership.Division {
+// current returns the division used by this instance. Its term is 0 if no division has been agreed
+// on.
+func (d *divisions) current() ownership.Division {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	agreed := d.divider.Agreed()
@@ -74,46 +77,46 @@
 	return agreed
 }
 
-// agreed returns the division that is agreed on; the zero one if none is.
+// agreed returns the agreed division, or the zero value if there is none.
 func (d *divisions) agreed() ownership.Division {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.divider.Agreed()
 }
 
-// hear takes in a division that another instance told. The cause is for the log.
-func (d *divisions) hear(heard ownership.Division, cause string) {
+// merge merges a division received from another instance. The cause is logged.
+func (d *divisions) merge(heard ownership.Division, cause string) {
 	d.mu.Lock()
 	before := d.divider.Agreed()
 	holds := d.divider.Hear(heard)
 	d.mu.Unlock()
 	if holds {
-		d.note(before, heard, cause)
+		d.logChange(before, heard, cause)
 	}
 }
 
-// look has this instance, which decides, look whether the endpoints ask for another division.
-func (d *divisions) look() {
+// update re-evaluates the division. Only the instance that owns the first part calls it.
+func (d *divisions) update() {
 	d.mu.Lock()
 	before := d.divider.Agreed()
 	holds := d.divider.Look(d.clock.Now(), d.supply())
 	after := d.divider.Agreed()
 	d.mu.Unlock()
 	if holds {
-		d.note(before, after, "endpoints")
-		d.decided()
+		d.logChange(before, after, "endpoints")
+		d.onDecision()
 	}
 }
 
-func (d *divisions) note(before, after ownership.Division, cause string) {
+func (d *divisions) logChange(before, after ownership.Division, cause string) {
 	d.log.WithFields(logrus.Fields{"event": "division", "parts": after.Parts, "term": after.Term, "before": before.Parts, "cause": cause}).Info()
-	d.changed(after)
+	d.onChange(after)
 }
 
-// divided gives up the parts of this instance that another division had, and tells the owners of
-// the parts that hold now what is known of their endpoints. Parts of the one that holds now which
-// this instance owned in an earlier term are planned here again.
-func (r *Router) divided(after ownership.Division) {
+// applyDivision applies a new division. It releases this instance's parts of the old division and
+// sends their endpoint state to the owners of the new parts. Parts of the new division that this
+// instance owned in an earlier term are resumed.
+func (r *Router) applyDivision(after ownership.Division) {
 	for _, claim := range r.claims.own() {
 		if claim.Part.Of == after.Parts {
 			r.planner.Resume(claim.Part)
@@ -121,26 +124,26 @@
 		}
 		ledger := r.planner.Release(claim.Part)
 		for part, share := range r.planner.Split(ledger, after.Parts) {
-			r.giveShare(part, share)
+			r.transferShare(part, share)
 		}
 	}
 }
 
-// giveShare tells the owner of a part what is known of some of its endpoints. Where it has no
-// owner that is reached, the first that would own it becomes the owner.
-func (r *Router) giveShare(part pipeline.Part, share pipeline.Ledger) {
+// transferShare sends the state of some endpoints to the owner of a part. If the part has no
+// reachable owner, the preferred candidate becomes the owner.
+func (r *Router) transferShare(part pipeline.Part, share pipeline.Ledger) {
 	holder, known := r.claims.holder(part)
-	if !known || !r.owners.reaches(holder.Owner) {
-		holder = r.claims.assign(part, r.owners.first(part), "division")
+	if !known || !r.owners.reachable(holder.Owner) {
+		holder = r.claims.assign(part, r.owners.preferredOwner(part), "division")
 	}
 	if r.claims.owns(part) {
 		r.planner.Take(part, share)
 		return
 	}
-	r.give(holder, share)
+	r.transfer(holder, share)
 }
 
-// outdated tells whether a plan of a part falls to another part now, since the division changed.
-func (r *Router) outdated(part pipeline.Part, plan *pipeline.Plan) bool {
+// partChanged reports whether a plan maps to another part because the division changed.
+func (r *Router) partChanged(part pipeline.Part, plan *pipeline.Plan) bool {
 	return r.divisions.partOf(plan.Request, plan.Region) != part
 }
--- a/service/handover/divisions_test.go
+++ b/service/handover/divisions_test.go
@@ -12,22 +12,22 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/pipeline"
 )
 
-var _ = Describe("the division into parts", func() {
+var _ = Describe("division of endpoints into parts", func() {
 	var (
 		clock *clockwork.FakeClock
 		all   group
 		owner *instance
 	)
 
-	// count has all instances count so many endpoints.
-	count := func(endpoints int64) {
+	// setEndpoints sets the number of endpoints that all instances see.
+	setEndpoints := func(endpoints int64) {
 		for _, i := range all {
 			i.endpoints.Store(endpoints)
 		}
 	}
 
-	// beat has all tell each other the division, as heartbeats do.
-	beat := func() {
+	// exchangeDivisions exchanges the division between all instances, as heartbeats do.
+	exchangeDivisions := func() {
 		for _, from := range all {
 			for _, to := range all {
 				to.router.HearDivision(from.router.Division())
@@ -35,9 +35,9 @@
 		}
 	}
 
-	// divided has the endpoints ask for four parts until the owner has made them.
-	divided := func() {
-		count(40)
+	// changeDivision raises the number of endpoints and waits until the owner has changed the division.
+	changeDivision := func() {
+		setEndpoints(40)
 		owner.router.Look()
 		clock.Advance(31 * time.Second)
 		owner.router.Look()
@@ -48,19 +48,19 @@
 		clock = clockwork.NewFakeClock()
 		all = newInstances(4, clock)
 		DeferCleanup(all.kill)
-		clock.Advance(joining)
-		count(5)
+		clock.Advance(joinPeriod)
+		setEndpoints(5)
 		owner = all.ownerOf(all[0], "first")
 		owner.router.Look()
-		beat()
+		exchangeDivisions()
 	})
 
-	It("is agreed on by the owner of the first part, and stays while endpoints are replaced", func() {
+	It("is decided by the owner of the first part and is kept while endpoints are replaced", func() {
 		for _, i := range all {
 			Expect(i.router.Division()).To(Equal(ownership.Division{Parts: 1, Term: 1}))
 		}
 		for _, endpoints := range []int64{7, 10, 13, 4} {
-			count(endpoints)
+			setEndpoints(endpoints)
 			for range 60 {
 				clock.Advance(time.Second)
 				for _, i := range all {
@@ -74,23 +74,23 @@
 		}
 	})
 
-	It("is taken from others by an instance that starts while endpoints are replaced", func() {
-		count(10)
-		young := all.restart(all.others(owner)[0])
-		young.endpoints.Store(10)
-		Expect(young.router.divisions.inForce()).To(Equal(ownership.Division{Parts: 2}), "it counts for itself at first")
-		done := all.run(young, "r")
-		Eventually(owner.pieces.Waiting).Should(Equal(2), "the owner of the first part is asked, and tells")
+	It("is adopted from peers by an instance that starts while endpoints are replaced", func() {
+		setEndpoints(10)
+		restarted := all.restart(all.others(owner)[0])
+		restarted.endpoints.Store(10)
+		Expect(restarted.router.divisions.current()).To(Equal(ownership.Division{Parts: 2}), "without peers it derives the division itself")
+		done := all.run(restarted, "r")
+		Eventually(owner.pieces.Waiting).Should(Equal(2), "the plan goes to the owner of the first part, which answers with the division")
 		owner.pieces.finish()
 		Expect(outcomeOf(done).Reason).To(BeEmpty())
-		Expect(young.router.Division()).To(Equal(ownership.Division{Parts: 1, Term: 1}))
+		Expect(restarted.router.Division()).To(Equal(ownership.Division{Parts: 1, Term: 1}))
 		for _, i := range all {
-			Expect(i.router.claims.holders(2)).To(BeEmpty(), "nobody plans a part that is not in force")
+			Expect(i.router.claims.holders(2)).To(BeEmpty(), "no part of an outdated division has a planner")
 		}
 	})
 
-	It("is changed by its owner alone", func() {
-		count(40)
+	It("is changed by the owner of the first part only", func() {
+		setEndpoints(40)
 		for range 60 {
 			clock.Advance(time.Second)
 			for _, i := range all.others(owner) {
@@ -102,13 +102,13 @@
 		}
 	})
 
-	It("takes plans along when it changes, with what was made, and what is known of the endpoints", func() {
+	It("moves plans with their results, and endpoint state, to the new owners when it changes", func() {
 		waiting := all.run(all.others(owner)[0], "r1")
 		own := all.run(owner, "r2")
 		Eventually(owner.pieces.Waiting).Should(Equal(4))
-		divided()
-		Eventually(all.waiting).Should(Equal(2), "one piece of each is missing")
-		Eventually(all.taken).Should(BeNumerically(">=", 8), "each part's owner is told")
+		changeDivision()
+		Eventually(all.waiting).Should(Equal(2), "one piece of each plan is left")
+		Eventually(all.taken).Should(BeNumerically(">=", 8), "the owner of each part receives a ledger")
 		all.finish()
 		for _, done := range []chan pipeline.Outcome{waiting, own} {
 			outcome := outcomeOf(done)
@@ -117,48 +117,48 @@
 		}
 	})
 
-	It("is told with answers to those who go by an older one, and in heartbeats", func() {
-		divided()
+	It("is sent in answers to callers with an older division, and in heartbeats", func() {
+		changeDivision()
 		Eventually(all.taken).Should(BeNumerically(">=", 8))
 		asking := all.others(owner)[0]
 		done := all.run(asking, "r1")
 		Eventually(all.waiting).Should(Equal(2))
 		all.finish()
 		Expect(outcomeOf(done).Reason).To(BeEmpty())
-		beat()
+		exchangeDivisions()
 		for _, i := range all {
 			Expect(i.router.Division()).To(Equal(ownership.Division{Parts: 8, Term: 2}))
 			for _, claim := range i.router.Claims() {
-				Expect(claim.Part.Of).To(Equal(8), "of parts that are not in force nothing is told")
+				Expect(claim.Part.Of).To(Equal(8), "parts of an outdated division are not advertised")
 			}
 		}
 	})
 
-	It("has parts planned again by who owned them in an earlier term", func() {
-		divided()
+	It("resumes parts at instances that owned them in an earlier term", func() {
+		changeDivision()
 		Eventually(all.taken).Should(BeNumerically(">=", 8))
-		beat()
+		exchangeDivisions()
 		for _, i := range all {
-			i.pieces.forgetful.Store(true)
+			i.pieces.noLedgers.Store(true)
 		}
-		count(5)
+		setEndpoints(5)
 		first := all.holderOf(owner, pipeline.Part{Of: 8})
 		first.router.Look()
 		clock.Advance(31 * time.Second)
 		first.router.Look()
 		Expect(first.router.Division()).To(Equal(ownership.Division{Parts: 1, Term: 3}))
-		beat()
+		exchangeDivisions()
 		for _, i := range all {
 			Expect(all.ownerOf(i, "again")).To(Equal(owner))
 		}
 	})
 
-	It("frees results where their makers are now", func() {
-		local := &rehoming{}
-		owner.router.makers = local
-		divided()
+	It("frees results in the queues of the current division", func() {
+		local := &firstPartStore{}
+		owner.router.results = local
+		changeDivision()
 		results := []batch.Result{{Handle: "h", Queue: batch.Queue{Service: "s", Parts: 1}}}
-		Expect(owner.router.rehomed(results)).To(ConsistOf(HaveField("Queue.Parts", 8)))
-		Expect(owner.router.rehomed([]batch.Result{{Handle: "h", Queue: batch.Queue{Service: "s", Part: 3, Parts: 8}}})).To(ConsistOf(HaveField("Queue.Part", 3)))
+		Expect(owner.router.withCurrentQueues(results)).To(ConsistOf(HaveField("Queue.Parts", 8)))
+		Expect(owner.router.withCurrentQueues([]batch.Result{{Handle: "h", Queue: batch.Queue{Service: "s", Part: 3, Parts: 8}}})).To(ConsistOf(HaveField("Queue.Part", 3)))
 	})
 })
--- a/service/handover/export_test.go
+++ b/service/handover/export_test.go
@@ -2,9 +2,9 @@
 
 import "github.com/cobaltcroft/cobaltcroft/pkg/pipeline"
 
-// of returns the peer addresses of those that rank before this instance for a part, and
-// this instance's own at the end.
-func (o *owners) of(part pipeline.Part) []string {
+// ranking returns the peer addresses ranking the instances that rank before this one for a part, followed by
+// its own.
+func (o *owners) ranking(part pipeline.Part) []string {
 	var addresses []string
 	for _, candidate := range o.ranked(part) {
 		addresses = append(addresses, candidate.PeerAddress)
@@ -15,7 +15,7 @@
 	return addresses
 }
 
-// known is how many stages of all plans are known to be made.
+// known returns how many stages of all tracked plans have results.
 func (p *progress) known() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/service/handover/failures_test.go
+++ b/service/handover/failures_test.go
@@ -18,7 +18,7 @@
 	"github.com/cobaltcroft/cobaltcroft/service/api"
 )
 
-// instantPieces makes pieces at once.
+// instantPieces completes pieces immediately.
 type instantPieces struct{}
 
 func (instantPieces) Make(_ context.Context, _ batch.Queue, pieces []batch.Piece, _ func()) []batch.Result {
@@ -47,7 +47,7 @@
 	return batch.Capacity{PerSecond: 10, AtOnce: 10, Call: time.Millisecond}
 }
 
-// slowPieces makes pieces when it is told to.
+// slowPieces completes pieces once begin is closed.
 type slowPieces struct {
 	instantPieces
 	begin chan struct{}
@@ -58,17 +58,17 @@
 	return s.instantPieces.Make(ctx, at, pieces, read)
 }
 
-// routerOf is the router of an instance that knows no other.
-func routerOf(planner *pipeline.Planner, clock clockwork.Clock) *Router {
+// newTestRouter returns the router of an instance that knows no peers.
+func newTestRouter(planner *pipeline.Planner, clock clockwork.Clock) *Router {
 	return NewRouter(Options{Self: self(0), Planner: planner, Clock: clock, Log: logging.Discard().For("handover"), Live: func() []membership.Member { return nil }, Supply: func() ownership.Supply { return ownership.Supply{All: 1} }})
 }
 
 var _ = Describe("plans of other instances", func() {
-	It("are counted until they are made, so that a planned stop can wait for them", func() {
+	It("are counted until they finish, so that a graceful shutdown can wait for them", func() {
 		clock := clockwork.NewFakeClock()
 		slow := slowPieces{begin: make(chan struct{})}
 		planner := pipeline.NewPlanner(slow, clock, metrics.NewSet(), logging.Discard().For("pipeline"))
-		h := NewHandler(routerOf(planner, clock), nil, nil, nil)
+		h := NewHandler(newTestRouter(planner, clock), nil, nil, nil)
 		call := api.Run{Call: "c", Part: pipeline.Part{Of: 1}, DueMs: 10_000, DeadlineMs: 10_000}
 		call.Plan.Stages = []pipeline.Stage{{Service: "s", Pieces: 1}}
 		done := make(chan struct{})
@@ -85,7 +85,7 @@
 	})
 })
 
-var _ = Describe("failures of the endpoint that a planner chose", func() {
+var _ = Describe("read failures of an endpoint chosen by a planner", func() {
 	var (
 		clock   *clockwork.FakeClock
 		planner *pipeline.Planner
@@ -105,17 +105,17 @@
 		return planner.Run(context.Background(), pipeline.Part{Of: 1}, plan).Reader
 	}
 
-	It("that a peer tells of have it pass that one over", func() {
+	It("exclude the endpoint when a peer reports them", func() {
 		Expect(chosen()).To(Equal("best"))
 		raw, err := json.Marshal(api.ReaderFailed{Endpoint: "best"})
 		Expect(err).NotTo(HaveOccurred())
-		_, err = NewHandler(routerOf(planner, clock), nil, nil, nil).Answer(context.Background(), api.MethodReaderFailed, raw)
+		_, err = NewHandler(newTestRouter(planner, clock), nil, nil, nil).Answer(context.Background(), api.MethodReaderFailed, raw)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(chosen()).To(Equal("second"))
 	})
 
-	It("of this instance's own planner need no peer", func() {
-		routerOf(planner, clock).ReaderFailed("", "best")
+	It("are applied directly if the local planner chose the endpoint", func() {
+		newTestRouter(planner, clock).ReaderFailed("", "best")
 		Expect(chosen()).To(Equal("second"))
 	})
 })
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -18,16 +18,16 @@
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
 )
 
-// Handler answers the calls of other instances' routers and followers.
+// Handler serves the calls of the routers and followers of other instances.
 type Handler struct {
 	router   *Router
 	planner  *pipeline.Planner
-	makers   makers
+	results  resultStore
 	follower *discovery.Follower
 	rollouts Rollouts
 	permits  Permitting
 	clock    clockwork.Clock
-	packing  packing
+	packer   endpointPacker
 
 	mu    sync.Mutex
 	calls map[string]context.CancelFunc
@@ -35,24 +35,24 @@
 
 var _ peers.Handler = (*Handler)(nil)
 
-// Rollouts are conducted here.
+// Rollouts handles the rollout reports of other instances.
 type Rollouts interface {
-	// Answer answers the report of an instance.
+	// Answer returns the instruction for a report.
 	Answer(r rollout.Report) rollout.Instruction
 }
 
-// Permitting grants calls to endpoints that name a limit for all instances.
+// Permitting grants calls to endpoints that have a limit shared by all instances.
 type Permitting interface {
-	// Answer answers the question of an instance.
+	// Answer returns the grant for a permit request.
 	Answer(a throttle.Ask) throttle.Grant
 }
 
-// NewHandler returns a handler that has stages made as a router says.
+// NewHandler returns a handler that runs plans through the given router.
 func NewHandler(router *Router, follower *discovery.Follower, rollouts Rollouts, permits Permitting) *Handler {
-	return &Handler{router: router, planner: router.planner, makers: router.makers, follower: follower, rollouts: rollouts, permits: permits, clock: router.clock, calls: map[string]context.CancelFunc{}}
+	return &Handler{router: router, planner: router.planner, results: router.results, follower: follower, rollouts: rollouts, permits: permits, clock: router.clock, calls: map[string]context.CancelFunc{}}
 }
 
-// UnderWay is the number of plans of other instances that are being made.
+// UnderWay returns the number of plans of other instances that are running here.
 func (h *Handler) UnderWay() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -68,7 +68,7 @@
 			return nil, err
 		}
 		if h.follower.View().Table == nil {
-			return nil, problem.New(problem.Unavailable, "hand the plan to the next owner", "this instance has no configuration yet")
+			return nil, problem.New(problem.Unavailable, "retry with the next candidate owner", "this instance has not received a configuration yet")
 		}
 		return h.run(ctx, call)
 	case api.MethodProgress:
@@ -76,14 +76,14 @@
 		if err != nil {
 			return nil, err
 		}
-		results := withTimes([][]batch.Result{call.Results}, h.clock.Now())[0]
-		return struct{}{}, h.router.progress.stageMade(call.Call, call.Stage, results)
+		results := withExpiryTimes([][]batch.Result{call.Results}, h.clock.Now())[0]
+		return struct{}{}, h.router.progress.stageCompleted(call.Call, call.Stage, results)
 	case api.MethodTake:
 		call, err := peers.Params[api.Take](method, raw)
 		if err != nil {
 			return nil, err
 		}
-		return struct{}{}, h.router.take(call)
+		return struct{}{}, h.router.accept(call)
 	case api.MethodCancel:
 		call, err := peers.Params[api.Cancel](method, raw)
 		if err != nil {
@@ -96,7 +96,7 @@
 		if err != nil {
 			return nil, err
 		}
-		h.makers.Free(call.Results)
+		h.results.Free(call.Results)
 		return struct{}{}, nil
 	case api.MethodReaderFailed:
 		call, err := peers.Params[api.ReaderFailed](method, raw)
@@ -112,7 +112,7 @@
 		}
 		wait := min(maxRelayWait, time.Duration(call.WaitMs)*time.Millisecond)
 		told := h.follower.Relay(discovery.RelaySelect{Since: call.Since, Document: call.Document, Evacuations: call.Evacuations, Rollouts: call.Rollouts, Wait: wait})
-		return h.packing.changes(call.Since, told, call.Packs), nil
+		return h.packer.changes(call.Since, told, call.Packs), nil
 	case api.MethodPiece:
 		call, err := peers.Params[discovery.PieceSelect](method, raw)
 		if err != nil {
@@ -136,13 +136,13 @@
 		if err != nil {
 			return nil, err
 		}
-		return h.packing.state(h.follower.Known(call.NewerThan), call.Packs), nil
+		return h.packer.state(h.follower.Known(call.NewerThan), call.Packs), nil
 	}
 	return nil, peers.UnknownMethod(method)
 }
 
-// run has stages made until the caller cancels or its connection breaks. What was made
-// until then is freed.
+// run runs a plan until it ends, the caller cancels it or the connection is lost. Results of an
+// abandoned plan are freed.
 func (h *Handler) run(ctx context.Context, call api.Run) (api.Ran, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -157,8 +157,8 @@
 	now := h.clock.Now()
 	call.Plan.Due = now.Add(time.Duration(call.DueMs) * time.Millisecond)
 	call.Plan.Deadline = now.Add(time.Duration(call.DeadlineMs) * time.Millisecond)
-	call.Plan.Made = withTimes(call.Plan.Made, now)
-	call.Plan.Progress = h.router.tellProgress(call.From, call.Call)
+	call.Plan.Made = withExpiryTimes(call.Plan.Made, now)
+	call.Plan.Progress = h.router.progressReporter(call.From, call.Call)
 	return h.router.serve(ctx, call)
 }
 
@@ -170,5 +170,5 @@
 	}
 }
 
-// maxRelayWait bounds how long a call for changes waits.
+// maxRelayWait bounds how long a call that waits for changes may block.
 const maxRelayWait = 2 * time.Second
--- a/service/handover/healing.go
+++ b/service/handover/healing.go
@@ -9,46 +9,48 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/pipeline"
 )
 
-// askedOfDomain is how many instances of each other failure domain are asked, to find out whether it is
-// reached: one of them may have ended.
-const askedOfDomain = 2
+// probesPerDomain is how many instances of each other failure domain are pinged to find out whether
+// the domain is reachable. One of them may have failed.
+const probesPerDomain = 2
 
-// claim makes this instance the owner of a part. Where another is known to own it, the claim is
-// provisional until this instance has shown that it reaches most failure domains: that takes a
-// few milliseconds after an owner has ended, and takeTimeout or longer in a cut.
+// claim makes this instance the owner of a part. If another owner is known, the claim is
+// provisional until this instance has reached a majority of the failure domains. During a network
+// partition the check takes up to transferTimeout.
 func (r *Router) claim(part pipeline.Part, cause string) {
 	if !r.claims.claim(part, cause) {
 		return
 	}
 	if holder, _ := r.claims.holder(part); holder.Provisional {
-		go r.confirmIfReaching(part)
+		go r.confirmIfMajority(part)
 	}
 }
 
-// settle has a provisional claim of this instance settled, one a second, and tells whether there is one.
-// Once most failure domains are reached, the part goes back to the owner that it displaced if that one
-// answers, with what was learnt meanwhile; else the claim is confirmed. In this order: where a cut heals
-// between the two questions, the owner must not be the one that was asked before.
-func (r *Router) settle() bool {
-	own, displaced, found := r.claims.provisional(r.divisions.inForce().Parts)
+// settleProvisional resolves one provisional claim of this instance and reports whether there is one. Once a
+// majority of the failure domains is reachable, the part goes back to the displaced owner if it
+// responds; otherwise the claim is confirmed.
+//
+// The majority is checked first. If a partition heals between the two checks, an owner that was
+// pinged before it healed would wrongly be considered failed.
+func (r *Router) settleProvisional() bool {
+	own, displaced, found := r.claims.provisional(r.divisions.current().Parts)
 	if !found {
 		return false
 	}
-	if r.giving.Swap(true) {
+	if r.transferring.Swap(true) {
 		return true
 	}
 	go func() {
-		defer r.giving.Store(false)
-		if !r.reachesMost() {
+		defer r.transferring.Store(false)
+		if !r.reachesMajority() {
 			return
 		}
-		back := displaced.Term > 0 && r.answers(displaced.Owner)
+		giveBack := displaced.Term > 0 && r.probe(displaced.Owner)
 		if holder, _ := r.claims.holder(own.Part); holder != own {
-			// Another has claimed the part meanwhile.
+			// Another instance claimed the part in the meantime.
 			return
 		}
-		if back {
-			r.giveToFirst(own.Part, []ownership.Owner{displaced.Owner}, "healed")
+		if giveBack {
+			r.transferToFirst(own.Part, []ownership.Owner{displaced.Owner}, "healed")
 			return
 		}
 		r.claims.confirm(own.Part)
@@ -56,37 +58,38 @@
 	return true
 }
 
-func (r *Router) confirmIfReaching(part pipeline.Part) {
-	if r.reachesMost() {
+func (r *Router) confirmIfMajority(part pipeline.Part) {
+	if r.reachesMajority() {
 		r.claims.confirm(part)
 	}
 }
 
-// reachesMost tells whether this instance reaches more than half of the failure domains, its own included.
-func (r *Router) reachesMost() bool {
+// reachesMajority reports whether this instance reaches more than half of the failure domains,
+// including its own.
+func (r *Router) reachesMajority() bool {
 	domains := r.owners.otherDomains()
 	reached := make([]bool, len(domains))
 	var group sync.WaitGroup
 	for i, domain := range domains {
-		group.Go(func() { reached[i] = r.anyAnswers(domain) })
+		group.Go(func() { reached[i] = r.anyReachable(domain) })
 	}
 	group.Wait()
 	n := 1
-	for _, yes := range reached {
-		n += choose(yes, 1, 0)
+	for _, ok := range reached {
+		n += choose(ok, 1, 0)
 	}
 	return 2*n > len(domains)+1
 }
 
-// anyAnswers tells whether one of a few of some members answers.
-func (r *Router) anyAnswers(members []membership.Member) bool {
-	asked := rand.Perm(len(members))[:min(askedOfDomain, len(members))]
-	answers := make(chan bool, len(asked))
-	for _, n := range asked {
-		go func() { answers <- r.ping(members[n].PeerAddress) }()
+// anyReachable pings a random sample of the members and reports whether any of them responds.
+func (r *Router) anyReachable(members []membership.Member) bool {
+	sample := rand.Perm(len(members))[:min(probesPerDomain, len(members))]
+	responses := make(chan bool, len(sample))
+	for _, n := range sample {
+		go func() { responses <- r.ping(members[n].PeerAddress) }()
 	}
-	for range asked {
-		if <-answers {
+	for range sample {
+		if <-responses {
 			return true
 		}
 	}
@@ -108,15 +111,15 @@
 	return domains
 }
 
-// staysWith tells whether this instance goes on with an owner whose part another claims provisionally: it
-// reaches that owner, as far as it knows, and is not of the claimer's failure domain, whose instances are
-// cut off together.
-func (o *owners) staysWith(owner, claimer ownership.Owner) bool {
-	return o.reaches(owner) && !o.neighbour(claimer)
+// prefersOwner reports whether this instance keeps using an owner whose part is claimed provisionally
+// by another instance. It does if it considers the owner reachable and is not in the claimer's
+// failure domain, which may be partitioned as a whole.
+func (o *owners) prefersOwner(owner, claimer ownership.Owner) bool {
+	return o.reachable(owner) && !o.inOwnDomain(claimer)
 }
 
-// neighbour tells whether an owner is a member of this instance's failure domain.
-func (o *owners) neighbour(owner ownership.Owner) bool {
+// inOwnDomain reports whether an owner is a member of this instance's failure domain.
+func (o *owners) inOwnDomain(owner ownership.Owner) bool {
 	m, known := o.member(owner)
 	return known && m.FailureDomain == o.self.FailureDomain
 }
--- a/service/handover/healing_test.go
+++ b/service/handover/healing_test.go
@@ -11,7 +11,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/pipeline"
 )
 
-var _ = Describe("a part whose owner is not reached", func() {
+var _ = Describe("a part whose owner is unreachable", func() {
 	var (
 		clock *clockwork.FakeClock
 		all   group
@@ -23,20 +23,20 @@
 		clock = clockwork.NewFakeClock()
 		all = newInstancesIn(4, 8, clock)
 		DeferCleanup(func() { all.kill() })
-		clock.Advance(joining)
+		clock.Advance(joinPeriod)
 		owner = all.ownerOf(all[0], "r1")
-		all.beat(all)
+		all.exchangeClaims(all)
 	})
 
-	// held returns the claim that an instance knows to hold.
-	held := func(i *instance) func() ownership.Claim {
+	// holderSeenBy returns the claim in force as an instance knows it.
+	holderSeenBy := func(i *instance) func() ownership.Claim {
 		return func() ownership.Claim {
 			claim, _ := i.router.claims.holder(whole)
 			return claim
 		}
 	}
 
-	// otherDomain returns a failure domain in which the owner does not stand, and its instances.
+	// otherDomain returns a failure domain without the owner, and its instances.
 	otherDomain := func() (string, group) {
 		for _, i := range all {
 			if i.self.FailureDomain != owner.self.FailureDomain {
@@ -46,73 +46,73 @@
 		return "", nil
 	}
 
-	// claimedInCut has a failure domain cut off, in which a part is claimed and handed on, so that its term
-	// rises there; it returns who owns the part there in the end.
-	claimedInCut := func(domain string, cutOff group) *instance {
+	// claimedInPartition partitions a failure domain, has the part claimed and transferred inside it so that
+	// the term rises, and returns the owner inside the partition.
+	claimedInPartition := func(domain string, partitioned group) *instance {
 		GinkgoHelper()
-		all.cut(domain)
-		first, second := cutOff[0], cutOff[1]
+		all.partition(domain)
+		first, second := partitioned[0], partitioned[1]
 		first.router.claim(whole, "asked_by_peer")
-		cutOff.beat(cutOff)
-		first.router.giveToFirst(whole, []ownership.Owner{second.self.Owner()}, "abler")
+		partitioned.exchangeClaims(partitioned)
+		first.router.transferToFirst(whole, []ownership.Owner{second.self.Owner()}, "abler")
 		Expect(second.router.claims.owns(whole)).To(BeTrue())
-		cutOff.beat(cutOff)
-		Expect(held(first)()).To(SatisfyAll(HaveField("Owner", second.self.Owner()), HaveField("Provisional", true)))
-		Expect(held(first)().Term).To(BeNumerically(">", held(owner)().Term+1))
+		partitioned.exchangeClaims(partitioned)
+		Expect(holderSeenBy(first)()).To(SatisfyAll(HaveField("Owner", second.self.Owner()), HaveField("Provisional", true)))
+		Expect(holderSeenBy(first)().Term).To(BeNumerically(">", holderSeenBy(owner)().Term+1))
 		return second
 	}
 
-	It("is claimed for good by one that reaches most, when the owner has ended", func() {
+	It("is claimed and confirmed by an instance that reaches a majority when the owner has failed", func() {
 		owner.kill()
 		second := all.ownerOf(all.others(owner)[0], "r2")
-		Eventually(held(second)).Should(HaveField("Provisional", false))
-		all.beat(all.others(owner))
+		Eventually(holderSeenBy(second)).Should(HaveField("Provisional", false))
+		all.exchangeClaims(all.others(owner))
 		for _, i := range all.others(owner) {
-			Expect(held(i)().Owner).To(Equal(second.self.Owner()))
+			Expect(holderSeenBy(i)().Owner).To(Equal(second.self.Owner()))
 		}
 	})
 
-	It("stays with the owner that most reach when a cut has healed, and goes back to it with what was learnt", func() {
+	It("stays with the owner on the majority side, which gets the ledger back after a partition heals", func() {
 		domain, cutOff := otherDomain()
-		second := claimedInCut(domain, cutOff)
+		second := claimedInPartition(domain, cutOff)
 		all.heal(domain)
-		clock.Advance(lastSuspect)
-		By("the others hearing of the claim inside the cut")
-		all.beat(all)
+		clock.Advance(maxSuspicion)
+		By("sending the claim made inside the partition to the other instances")
+		all.exchangeClaims(all)
 		for _, i := range all {
 			if i.self.FailureDomain != domain {
 				Expect(all.holderOf(i, whole)).To(Equal(owner))
 			}
 		}
 		Expect(owner.pieces.Taken()).To(BeEmpty())
-		By("the claimer reaching the owner again")
+		By("letting the claimer reach the owner again")
 		second.router.Look()
 		Eventually(owner.pieces.Taken).Should(HaveLen(1))
-		all.beat(all)
+		all.exchangeClaims(all)
 		for _, i := range all {
-			Expect(held(i)()).To(SatisfyAll(HaveField("Owner", owner.self.Owner()), HaveField("Provisional", false)))
+			Expect(holderSeenBy(i)()).To(SatisfyAll(HaveField("Owner", owner.self.Owner()), HaveField("Provisional", false)))
 			Expect(all.ownerOf(i, "r3")).To(Equal(owner))
 		}
 	})
 
-	It("stays with who claimed it in a cut when the owner has ended meanwhile, and nobody else claimed it", func() {
+	It("stays with the claimer inside the partition if the owner has failed and nobody else claimed it", func() {
 		domain, cutOff := otherDomain()
-		second := claimedInCut(domain, cutOff)
+		second := claimedInPartition(domain, cutOff)
 		owner.kill()
 		all.heal(domain)
-		clock.Advance(lastSuspect)
+		clock.Advance(maxSuspicion)
 		second.router.Look()
-		Eventually(held(second)).Should(HaveField("Provisional", false))
-		all.beat(all.others(owner))
+		Eventually(holderSeenBy(second)).Should(HaveField("Provisional", false))
+		all.exchangeClaims(all.others(owner))
 		for _, i := range all.others(owner) {
-			Expect(held(i)().Owner).To(Equal(second.self.Owner()))
+			Expect(holderSeenBy(i)().Owner).To(Equal(second.self.Owner()))
 		}
 	})
 
-	It("stays provisional as long as the cut lasts", func() {
+	It("stays provisional while the partition lasts", func() {
 		domain, cutOff := otherDomain()
-		second := claimedInCut(domain, cutOff)
+		second := claimedInPartition(domain, cutOff)
 		second.router.Look()
-		Consistently(held(second)).WithTimeout(100 * time.Millisecond).Should(HaveField("Provisional", true))
+		Consistently(holderSeenBy(second)).WithTimeout(100 * time.Millisecond).Should(HaveField("Provisional", true))
 	})
 })
--- a/service/handover/instance_test.go
+++ b/service/handover/instance_test.go
@@ -27,22 +27,22 @@
 
 const testToken = "token"
 
-// heldPieces makes pieces when it is told to; those of a part that was given up end as moved.
+// heldPieces completes pieces when finish is called. Pieces of a released part end as moved.
 type heldPieces struct {
 	instantPieces
 	mu       sync.Mutex
 	made     []batch.Piece
 	waiting  []heldCall
 	released map[pipeline.Part]bool
-	// stuck says that what was given up is never taken back.
-	stuck bool
-	// forgetful says that nothing is known of any endpoint.
-	forgetful atomic.Bool
+	// keepReleased keeps released parts released after Resume.
+	keepReleased bool
+	// noLedgers makes Split return no ledgers.
+	noLedgers atomic.Bool
 	taken     []batch.Ledger
 	adopted   []batch.Result
 }
 
-// heldCall is a stage that waits.
+// heldCall is a pending call of Make.
 type heldCall struct {
 	pieces []batch.Piece
 	done   chan []batch.Result
@@ -53,7 +53,7 @@
 	h.mu.Lock()
 	if h.released[pipeline.Part{Number: at.Part, Of: at.Parts}] {
 		h.mu.Unlock()
-		return reasons(pieces, batch.Moved)
+		return resultsWithReason(pieces, batch.Moved)
 	}
 	h.waiting = append(h.waiting, call)
 	h.mu.Unlock()
@@ -61,11 +61,11 @@
 	case results := <-call.done:
 		return results
 	case <-ctx.Done():
-		return reasons(pieces, batch.Late)
+		return resultsWithReason(pieces, batch.Late)
 	}
 }
 
-func reasons(pieces []batch.Piece, reason batch.Reason) []batch.Result {
+func resultsWithReason(pieces []batch.Piece, reason batch.Reason) []batch.Result {
 	results := make([]batch.Result, len(pieces))
 	for i := range results {
 		results[i].Reason = reason
@@ -73,13 +73,13 @@
 	return results
 }
 
-// Release ends what waits: the first piece of each stage has been made, the others move.
+// Release ends pending calls: the first piece of each is completed, the others are moved.
 func (h *heldPieces) Release(part, parts int) batch.Ledger {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.setReleased(part, parts, true)
 	for _, call := range h.waiting {
-		results := reasons(call.pieces, batch.Moved)
+		results := resultsWithReason(call.pieces, batch.Moved)
 		results[0] = batch.Result{Handle: "made before", Domain: "made"}
 		call.done <- results
 	}
@@ -98,7 +98,7 @@
 func (h *heldPieces) Resume(part, parts int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.setReleased(part, parts, h.stuck)
+	h.setReleased(part, parts, h.keepReleased)
 }
 
 func (h *heldPieces) setReleased(part, parts int, released bool) {
@@ -108,10 +108,10 @@
 	h.released[pipeline.Part{Number: part, Of: parts}] = released
 }
 
-// Split tells all parts of all endpoints.
+// Split returns the whole ledger for each part.
 func (h *heldPieces) Split(ledger batch.Ledger, parts int) map[int]batch.Ledger {
 	split := map[int]batch.Ledger{}
-	if h.forgetful.Load() {
+	if h.noLedgers.Load() {
 		return split
 	}
 	for part := range parts {
@@ -126,7 +126,7 @@
 	h.adopted = append(h.adopted, results...)
 }
 
-// finish makes all that waits.
+// finish completes all pending pieces.
 func (h *heldPieces) finish() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -141,7 +141,7 @@
 	h.waiting = nil
 }
 
-// Waiting is how many pieces wait.
+// Waiting returns the number of pending pieces.
 func (h *heldPieces) Waiting() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -164,7 +164,7 @@
 	return h.taken
 }
 
-// instance is an instance over real connections, which knows what the test says.
+// instance is an instance with real connections, whose member list is set by the test.
 type instance struct {
 	self     membership.Self
 	router   *Router
@@ -172,9 +172,9 @@
 	server   *peers.Server
 	listener net.Listener
 	client   *peers.Client
-	// unreached are the peer addresses that it does not reach.
-	unreached sync.Map
-	// endpoints is how many the least service has.
+	// unreachable has the peer addresses that the instance cannot reach.
+	unreachable sync.Map
+	// endpoints is the endpoint count that the instance reports.
 	endpoints atomic.Int64
 
 	mu      sync.Mutex
@@ -193,8 +193,8 @@
 	return members
 }
 
-// sees sets what the instance knows of another.
-func (i *instance) sees(other *instance, state membership.State, since time.Time) {
+// setState sets the state of a member in the instance's list.
+func (i *instance) setState(other *instance, state membership.State, since time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for n := range i.members {
@@ -204,37 +204,38 @@
 	}
 }
 
-// GomegaString is what a failed test prints.
+// GomegaString implements format.GomegaStringer.
 func (i *instance) GomegaString() string { return i.self.Name }
 
-// cuttable calls the peers that an instance reaches.
-type cuttable struct{ i *instance }
+// partitionableCaller is a caller that fails for unreached peers.
+type partitionableCaller struct{ i *instance }
 
-func (c cuttable) Call(ctx context.Context, address, method string, params, result any) error {
-	if _, cut := c.i.unreached.Load(address); cut {
-		return problem.New(problem.Unavailable, "heal the cut", "peer %s is cut off", address)
+func (c partitionableCaller) Call(ctx context.Context, address, method string, params, result any) error {
+	if _, cut := c.i.unreachable.Load(address); cut {
+		return problem.New(problem.Unavailable, "heal the partition", "peer %s is partitioned", address)
 	}
 	return c.i.client.Call(ctx, address, method, params, result)
 }
 
-func (c cuttable) Notify(ctx context.Context, address, method string, params any) error {
-	if _, cut := c.i.unreached.Load(address); cut {
-		return problem.New(problem.Unavailable, "heal the cut", "peer %s is cut off", address)
+func (c partitionableCaller) Notify(ctx context.Context, address, method string, params any) error {
+	if _, cut := c.i.unreachable.Load(address); cut {
+		return problem.New(problem.Unavailable, "heal the partition", "peer %s is partitioned", address)
 	}
 	return c.i.client.Notify(ctx, address, method, params)
 }
 
-// cut has the instances of a failure domain and all others not reach each other; heal ends that.
-func (g group) cut(domain string) {
-	g.acrossTo(domain, func(i, other *instance) { i.unreached.Store(other.self.PeerAddress, true) })
+// partition partitions a failure domain from all others.
+func (g group) partition(domain string) {
+	g.eachPairAcross(domain, func(i, other *instance) { i.unreachable.Store(other.self.PeerAddress, true) })
 }
 
+// heal ends the partition of a failure domain.
 func (g group) heal(domain string) {
-	g.acrossTo(domain, func(i, other *instance) { i.unreached.Delete(other.self.PeerAddress) })
+	g.eachPairAcross(domain, func(i, other *instance) { i.unreachable.Delete(other.self.PeerAddress) })
 }
 
-// acrossTo does something for each two instances of which one stands in a failure domain.
-func (g group) acrossTo(domain string, do func(i, other *instance)) {
+// eachPairAcross calls do for each pair of instances with exactly one in the failure domain.
+func (g group) eachPairAcross(domain string, do func(i, other *instance)) {
 	for _, i := range g {
 		for _, other := range g {
 			if (i.self.FailureDomain == domain) != (other.self.FailureDomain == domain) {
@@ -244,8 +245,8 @@
 	}
 }
 
-// beat has some tell each other who owns what, as heartbeats do.
-func (g group) beat(some []*instance) {
+// exchangeClaims exchanges claims between some instances, as heartbeats do.
+func (g group) exchangeClaims(some []*instance) {
 	for _, from := range some {
 		for _, to := range some {
 			to.router.HearClaims(from.router.Claims())
@@ -264,14 +265,14 @@
 	return some
 }
 
-// kill ends an instance without a word.
+// kill stops an instance without notice.
 func (i *instance) kill() {
 	_ = i.listener.Close()
 	i.server.Close()
 	i.client.Close()
 }
 
-// group is some instances that know each other.
+// group is a set of instances that know each other.
 type group []*instance
 
 func newInstances(n int, clock clockwork.Clock) group {
@@ -279,7 +280,7 @@
 	return newInstancesIn(2, n, clock)
 }
 
-// newInstancesIn returns instances in so many failure domains.
+// newInstancesIn returns n instances spread over the given number of failure domains.
 func newInstancesIn(domains, n int, clock clockwork.Clock) group {
 	GinkgoHelper()
 	var all group
@@ -300,10 +301,9 @@
 	}
 }
 
-// others returns all but one.
 func (g group) others(one *instance) []*instance { return without(g, one) }
 
-// run has a request of an instance made.
+// run starts a plan on an instance.
 func (g group) run(i *instance, request string) chan pipeline.Outcome {
 	done := make(chan pipeline.Outcome, 1)
 	due := i.router.clock.Now().Add(10 * time.Minute)
@@ -319,7 +319,7 @@
 	return outcome
 }
 
-// planners returns those that have work.
+// planners returns the instances with pending pieces.
 func (g group) planners() []*instance {
 	var working []*instance
 	for _, i := range g {
@@ -330,7 +330,7 @@
 	return working
 }
 
-// ownerOf has a request of an instance planned, and returns who plans it.
+// ownerOf runs a plan from an instance and returns the instance that planned it.
 func (g group) ownerOf(i *instance, request string) *instance {
 	GinkgoHelper()
 	done := g.run(i, request)
@@ -341,7 +341,7 @@
 	return owner
 }
 
-// holderOf returns who owns a part, as an instance knows.
+// holderOf returns the owner of a part as an instance knows it.
 func (g group) holderOf(i *instance, part pipeline.Part) *instance {
 	GinkgoHelper()
 	holder, known := i.router.claims.holder(part)
@@ -355,7 +355,7 @@
 	return nil
 }
 
-// enlarge has all know that one of them runs on a large machine.
+// enlarge advertises a large machine for one instance.
 func (g group) enlarge(one *instance) {
 	machine := membership.Machine{Cores: 0.8, LinkMbps: 200}
 	one.router.owners.self.Machine = machine
@@ -370,7 +370,7 @@
 	}
 }
 
-// waiting is how many pieces wait.
+// waiting returns the number of pending pieces.
 func (g group) waiting() int {
 	n := 0
 	for _, i := range g {
@@ -379,7 +379,7 @@
 	return n
 }
 
-// taken is how many ledgers were taken over.
+// taken returns the number of accepted ledgers.
 func (g group) taken() int {
 	n := 0
 	for _, i := range g {
@@ -388,41 +388,41 @@
 	return n
 }
 
-// finish makes all that waits.
+// finish completes all pending pieces.
 func (g group) finish() {
 	for _, i := range g {
 		i.pieces.finish()
 	}
 }
 
-// restart has an instance live a second time, known to all, at another address.
+// restart replaces an instance by a new one with the same name and another address.
 func (g group) restart(old *instance) *instance {
 	GinkgoHelper()
 	var n int
 	_, err := fmt.Sscanf(old.self.Name, "i%d", &n)
 	Expect(err).NotTo(HaveOccurred())
-	young := newInstance(n, n%2, old.router.clock)
-	young.members = old.members
+	restarted := newInstance(n, n%2, old.router.clock)
+	restarted.members = old.members
 	for k, i := range g {
 		if i == old {
-			g[k] = young
+			g[k] = restarted
 			continue
 		}
 		for m := range i.members {
 			if i.members[m].Name == old.self.Name {
-				i.members[m] = membership.Member{Self: young.self, State: membership.Live}
+				i.members[m] = membership.Member{Self: restarted.self, State: membership.Live}
 			}
 		}
 	}
-	return young
+	return restarted
 }
 
-// rehoming moves results to the first part.
-type rehoming struct{}
+// firstPartStore maps all results to the first part.
+type firstPartStore struct{}
 
-func (rehoming) Free([]batch.Result) {}
+func (firstPartStore) Free([]batch.Result) {}
 
-func (rehoming) Rehome(results []batch.Result, parts int) []batch.Result {
+func (firstPartStore) Rehome(results []batch.Result, parts int) []batch.Result {
 	moved := slices.Clone(results)
 	for i := range moved {
 		moved[i].Queue.Part, moved[i].Queue.Parts = 0, parts
@@ -430,7 +430,7 @@
 	return moved
 }
 
-// without returns all of a list but one.
+// without returns a list with one instance removed.
 func without(list []*instance, one *instance) []*instance {
 	var rest []*instance
 	for _, i := range list {
@@ -441,8 +441,8 @@
 	return rest
 }
 
-// answerer answers runs and parts that are handed over.
-type answerer struct{ *Handler }
+// unconfiguredHandler serves plans although the instance has no configuration.
+type unconfiguredHandler struct{ *Handler }
 
 func newInstance(n, domain int, clock clockwork.Clock) *instance {
 	GinkgoHelper()
@@ -456,19 +456,19 @@
 		Self:    i.self,
 		Live:    func() []membership.Member { return i.with(membership.Live) },
 		Leaving: func() []membership.Member { return i.with(membership.Leaving) },
-		Client:  cuttable{i},
+		Client:  partitionableCaller{i},
 		Planner: pipeline.NewPlanner(i.pieces, clock, metrics.NewSet(), logging.Discard().For("pipeline")),
 		Supply:  func() ownership.Supply { return ownership.Supply{All: int(i.endpoints.Load())} },
 		Clock:   clock,
 		Log:     logging.Discard().For("handover"),
 	})
-	i.server = peers.NewServer(answerer{NewHandler(i.router, nil, nil, nil)}, testToken, nil, logging.Discard().For("peers"))
+	i.server = peers.NewServer(unconfiguredHandler{NewHandler(i.router, nil, nil, nil)}, testToken, nil, logging.Discard().For("peers"))
 	go i.server.Serve(listener)
 	return i
 }
 
-// Answer leaves out the question for a configuration, which these instances do not have.
-func (a answerer) Answer(ctx context.Context, method string, raw json.RawMessage) (any, error) {
+// Answer skips the configuration check of runs.
+func (a unconfiguredHandler) Answer(ctx context.Context, method string, raw json.RawMessage) (any, error) {
 	if method != api.MethodRun {
 		return a.Handler.Answer(ctx, method, raw)
 	}
--- a/service/handover/knowledge.go
+++ b/service/handover/knowledge.go
@@ -17,26 +17,27 @@
 )
 
 const (
-	// relaysPerDomain is how many instances of a failure domain relay to the others; the
-	// second follows the first. fewInDomain is how many instances all watch it themselves.
+	// relaysPerDomain is how many instances of a failure domain relay configuration changes to
+	// the others.
 	relaysPerDomain = 2
-	fewInDomain     = 4
+	// maxDirectWatchers is the largest failure domain in which every instance watches the source itself.
+	maxDirectWatchers = 4
 )
 
-// Knowledge asks peers for what they know of configuration and endpoints.
+// Knowledge implements discovery.Peers: it fetches configuration and endpoint state from peers.
 type Knowledge struct {
 	Client *peers.Client
 	Self   membership.Self
 	Live   func() []membership.Member
-	// Contacts are asked while no member is known.
+	// Contacts are the addresses to use while no member is known.
 	Contacts []string
-	// Tell has a heartbeat sent at once.
+	// Tell triggers a heartbeat.
 	Tell func()
 }
 
 var _ discovery.Peers = (*Knowledge)(nil)
 
-// State implements discovery.Peers: it asks one of the peers, another each time.
+// State implements discovery.Peers. It asks a random peer.
 func (k *Knowledge) State(ctx context.Context, newerThan uint64) (discovery.Known, error) {
 	addresses := k.Contacts
 	if live := k.Live(); len(live) > 0 {
@@ -59,15 +60,16 @@
 	return known.Known, err
 }
 
-// Relays implements discovery.Peers: in a failure domain with many instances, the first two of
-// those that are able, by rendezvous hashing, relay to the others. The first watches the source; the
-// second follows the first, and watches the source when that one does not answer. Others ask the
-// first of another failure domain before they do, another for each, so that the source is not
-// watched by a whole domain whose relays are slow: 48 instances there, one call each 1.5 s.
+// Relays implements discovery.Peers. In a large failure domain, the first two instances by
+// rendezvous hashing, capable machines first, relay to the others. The first relay watches the
+// source; the second follows the first and falls back to the source.
+//
+// All other instances also try the first relay of another failure domain before the source. If the
+// relays of a domain are slow, the source would otherwise be watched by the whole domain.
 func (k *Knowledge) Relays() []string {
 	live := k.Live()
 	domain := k.ranked(live, k.Self.FailureDomain)
-	if len(domain) <= fewInDomain {
+	if len(domain) <= maxDirectWatchers {
 		return nil
 	}
 	var relays []string
@@ -86,7 +88,7 @@
 	return relays
 }
 
-// ranked returns the instances of a failure domain in the order in which they relay.
+// ranked returns the instances of a failure domain in relay order.
 func (k *Knowledge) ranked(live []membership.Member, domain string) []owner {
 	var list []owner
 	if domain == k.Self.FailureDomain {
@@ -101,8 +103,8 @@
 	return list
 }
 
-// otherDomain returns a failure domain of other instances, chosen by this one's name; empty if there
-// is none.
+// otherDomain returns another failure domain, chosen by rendezvous hashing on this instance's name;
+// empty if there is none.
 func (k *Knowledge) otherDomain(live []membership.Member) string {
 	best, most := "", uint64(0)
 	for _, m := range live {
@@ -132,8 +134,8 @@
 	return relayed.Relayed, err
 }
 
-// Holders implements discovery.Peers: those of the own failure domain come first, and among
-// them those with the newest document; the rest is left to chance, so that all are asked.
+// Holders implements discovery.Peers. Peers of the same failure domain come first, newer documents
+// before older ones; ties are in random order to spread the load.
 func (k *Knowledge) Holders(newerThan uint64) []string {
 	var holders []membership.Member
 	for _, m := range k.Live() {
--- a/service/handover/knowledge_test.go
+++ b/service/handover/knowledge_test.go
@@ -16,17 +16,17 @@
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
 )
 
-// recorded answers each method with the text that an instance of an earlier build gave.
-type recorded map[string]string
+// recordedAnswers answers each method with the JSON text of an earlier version.
+type recordedAnswers map[string]string
 
-func (r recorded) Answer(_ context.Context, method string, _ json.RawMessage) (any, error) {
+func (r recordedAnswers) Answer(_ context.Context, method string, _ json.RawMessage) (any, error) {
 	return json.RawMessage(r[method]), nil
 }
 
-var _ = Describe("what instances of earlier builds tell", func() {
-	It("has the names of endpoints whose lives they do not know", func() {
+var _ = Describe("state received from instances of earlier builds", func() {
+	It("has endpoint names derived from IDs that include an incarnation", func() {
 		usage := peers.NewUsage(metrics.NewSet())
-		server := peers.NewServer(recorded{
+		server := peers.NewServer(recordedAnswers{
 			api.MethodState:  `{"state":{"revision":9,"endpoints":[{"id":"a@17","service":"s","address":"10.0.0.1:1","failure_domain":"d","slots":8,"leaving":false}]},"age_ns":1000000,"mark":{"revision":4,"at":9,"age_ns":1,"newest":4}}`,
 			api.MethodFollow: `{"changes":{"revision":12,"endpoints":[{"endpoint":{"id":"a@18","service":"s","address":"10.0.0.1:1","failure_domain":"d","slots":8,"leaving":true}},{"endpoint":{"id":"b","service":"","address":"","failure_domain":"","slots":0,"leaving":false},"gone":true}]},"age_ns":1000000,"mark":{"revision":4,"at":12,"age_ns":1,"newest":4}}`,
 		}, testToken, usage, logging.Discard().For("peers"))
--- a/service/handover/owners.go
+++ b/service/handover/owners.go
@@ -1,11 +1,11 @@
-// Package handover hands the stages of requests over between instances, so that those of
-// all instances' requests are made by one planner, and tells peers what is known of
-// configuration and endpoints.
+// Package handover routes request plans to the instance that owns their part of the stage
+// endpoints, so that one planner batches the calls to each endpoint. It also serves the
+// configuration and endpoint state of this instance to its peers.
 //
-// For each part of the endpoints one live instance is the owner: the one that claimed it last
-// (pkg/ownership), and where none has, the first by rendezvous hashing, which claims it when it
-// is handed the first plan. Owning is a preference, not a right: two owners at once only send
-// smaller batches, and an instance that reaches no other makes its stages itself.
+// Each part has one owner: the instance with the latest claim (pkg/ownership). Without a claim, the
+// first candidate by rendezvous hashing claims the part when it receives a plan. Ownership is
+// advisory. Two owners of one part only cause smaller batches, and an isolated instance runs its
+// plans itself.
 package handover
 
 import (
@@ -25,31 +25,31 @@
 )
 
 const (
-	// firstSuspect and lastSuspect bound how long an owner that did not answer gets no
-	// plans; the time doubles with each time in a row.
-	firstSuspect = 2 * time.Second
-	lastSuspect  = 20 * time.Second
-	// trialLasts is how long one plan tries an owner whose suspicion has ended, while
-	// all others still pass it over.
-	trialLasts = time.Second
-	// joining is how long after its start an instance takes the contacts of its settings
-	// for the owners, though it has not heard of them: others that start with it know no
-	// more members than it does.
-	joining = 1500 * time.Millisecond
-	// partsPerContact is how many parts a contact can own meanwhile. Where there are more,
-	// instances that start together plan for themselves at first.
-	partsPerContact = 4
-	// suspectsOfDomain is how many suspected instances of another failure domain make the
-	// others of it be passed over too.
-	suspectsOfDomain = 2
+	// minSuspicion and lastSuspect bound how long an unresponsive owner is skipped. The time
+	// doubles with each consecutive failure.
+	minSuspicion = 2 * time.Second
+	maxSuspicion = 20 * time.Second
+	// probePeriod is how long other plans skip an owner whose suspicion has expired while one
+	// plan probes it.
+	probePeriod = time.Second
+	// joinPeriod is how long after its start an instance uses the configured contacts as owners,
+	// even without heartbeats from them. Instances that start together agree on owners this way
+	// before they know each other.
+	joinPeriod = 1500 * time.Millisecond
+	// maxPartsPerContact bounds the parts that each contact owns during that time. With more
+	// parts, each starting instance plans for itself.
+	maxPartsPerContact = 4
+	// domainSuspectThreshold is how many suspected instances make another failure domain count as
+	// unreachable.
+	domainSuspectThreshold = 2
 )
 
-// suspicion is that of one instance.
+// suspicion is the state of an unresponsive instance.
 type suspicion struct {
-	until time.Time
-	lasts time.Duration
-	// trying says that one plan tries the instance, though it is suspected.
-	trying bool
+	until    time.Time
+	duration time.Duration
+	// probing is set while one plan probes the instance.
+	probing bool
 }
 
 // owners chooses the owner of each part among the live members.
@@ -57,14 +57,15 @@
 	clock clockwork.Clock
 	self  membership.Self
 	live  func() []membership.Member
-	// regions has the region of each failure domain.
+	// regions maps failure domains to regions.
 	regions ownership.Regions
-	// contacts own the first parts, one each while it lives, and until joined all parts.
+	// contacts are the configured peer addresses. The n-th contact owns part n while it is live;
+	// until joinedAt, the contacts own all parts.
 	contacts []string
-	joined   time.Time
+	joinedAt time.Time
 
-	// leaving returns the members that live but leave; nil: none. leftAt is when this instance
-	// began to leave; the zero time if it does not.
+	// leaving returns the members that are leaving; it may be nil. leftAt is when this instance
+	// began to leave, nil if it has not.
 	leaving func() []membership.Member
 	leftAt  atomic.Pointer[time.Time]
 
@@ -73,43 +74,43 @@
 }
 
 func newOwners(clock clockwork.Clock, self membership.Self, live func() []membership.Member, contacts []string) *owners {
-	return &owners{clock: clock, self: self, live: live, contacts: contacts, joined: clock.Now().Add(joining), suspects: map[string]suspicion{}}
+	return &owners{clock: clock, self: self, live: live, contacts: contacts, joinedAt: clock.Now().Add(joinPeriod), suspects: map[string]suspicion{}}
 }
 
 // owner is an instance that may own a part.
 type owner struct {
 	membership.Self
 	weight uint64
-	// able says that its machine is able to work for all others.
-	able bool
+	// capable is set if the machine is large enough to plan for the whole cluster.
+	capable bool
 }
 
-// candidates returns the peer addresses that a plan is handed to, in turn, until one
-// answers: the owner, then the one that is first in the own failure domain, which all
-// instances choose that are cut off together. This instance's own stands for the end.
+// candidates returns the peer addresses to try for a part, in order: the owner, the first instance
+// of the local failure domain, and this instance itself. All instances of a partitioned failure
+// domain choose the same second candidate.
 //
-// Contacts that are able are owners before others, so that instances that start together, and
-// know nobody else yet, choose the same owners at first as later.
+// Contacts on capable machines come before other members, so that instances that start together
+// choose the same owners before and after they know all members.
 func (o *owners) candidates(part pipeline.Part) []string {
-	if later := o.leavingLater(); len(later) > 0 && o.noneStays() {
+	if later := o.leavingLater(); len(later) > 0 && o.noStayingMember() {
 		return []string{later[0].PeerAddress, o.self.PeerAddress}
 	}
 	list := o.ranked(part)
 	chosen := o.contactsFor(part, list)
 	if !slices.Contains(chosen, o.self.PeerAddress) {
-		chosen = append(chosen, list[0].PeerAddress, firstOf(list[1:], o.self.FailureDomain), o.self.PeerAddress)
+		chosen = append(chosen, list[0].PeerAddress, firstInDomain(list[1:], o.self.FailureDomain), o.self.PeerAddress)
 	}
 	end := slices.Index(chosen, o.self.PeerAddress)
 	chosen = unique(chosen[:end+1])
-	o.try(chosen[0])
+	o.startProbe(chosen[0])
 	return chosen
 }
 
-// contactsFor returns the contacts that own a part: while this instance joins, all in the
-// part's order; later the one whose part it is, if it ranks and is able.
+// contactsFor returns the contacts that own a part. While this instance joins, these are all
+// contacts in the part's order; later it is the contact of the part, if it is live and capable.
 func (o *owners) contactsFor(part pipeline.Part, list []owner) []string {
 	var chosen []string
-	if o.clock.Now().Before(o.joined) && part.Of <= partsPerContact*len(o.contacts) {
+	if o.clock.Now().Before(o.joinedAt) && part.Of <= maxPartsPerContact*len(o.contacts) {
 		for i := range o.contacts {
 			address := o.contacts[(part.Number+i)%len(o.contacts)]
 			if !o.suspected(address) {
@@ -118,18 +119,19 @@
 		}
 		return chosen
 	}
-	if part.Number < len(o.contacts) && o.regions.Of(part) == "" && ranks(list, o.contacts[part.Number]) {
+	if part.Number < len(o.contacts) && o.regions.Of(part) == "" && containsCapable(list, o.contacts[part.Number]) {
 		chosen = append(chosen, o.contacts[part.Number])
 	}
 	return chosen
 }
 
-func ranks(list []owner, address string) bool {
-	return slices.ContainsFunc(list, func(candidate owner) bool { return candidate.PeerAddress == address && candidate.able })
+// containsCapable reports whether the list has a capable instance with the given address.
+func containsCapable(list []owner, address string) bool {
+	return slices.ContainsFunc(list, func(candidate owner) bool { return candidate.PeerAddress == address && candidate.capable })
 }
 
-// firstOf returns the address of the first of a failure domain; empty if there is none.
-func firstOf(list []owner, domain string) string {
+// firstInDomain returns the address of the first instance in a failure domain; empty if there is none.
+func firstInDomain(list []owner, domain string) string {
 	for _, candidate := range list {
 		if candidate.FailureDomain == domain {
 			return candidate.PeerAddress
@@ -138,7 +140,7 @@
 	return ""
 }
 
-// unique removes what stands in a list before.
+// unique removes duplicates, keeping the first of each.
 func unique(list []string) []string {
 	var kept []string
 	for _, s := range list {
@@ -149,15 +151,15 @@
 	return kept
 }
 
-// ranked returns this instance and all members that are not suspected: those that are able first,
-// by their weight for a part.
+// ranked returns this instance and all members that are not suspected, capable machines first, in
+// rendezvous hashing order for a part.
 func (o *owners) ranked(part pipeline.Part) []owner {
 	name := strconv.Itoa(part.Number) + "/"
 	list := []owner{{Self: o.self, weight: xxhash.Sum64String(name + o.self.Name)}}
 	live := o.live()
-	silent := o.silentDomains(live)
+	unreachable := o.unreachableDomains(live)
 	for _, m := range live {
-		if !o.suspected(m.PeerAddress) && !silent[m.FailureDomain] {
+		if !o.suspected(m.PeerAddress) && !unreachable[m.FailureDomain] {
 			list = append(list, owner{Self: m.Self, weight: xxhash.Sum64String(name + m.Name)})
 		}
 	}
@@ -166,43 +168,43 @@
 	return list
 }
 
-// preferRegion sorts those of the part's region before others that are as able.
+// preferRegion moves the instances in the part's region ahead of others that are equally capable.
 func (o *owners) preferRegion(part pipeline.Part, list []owner) {
 	region := o.regions.Of(part)
 	if region == "" {
 		return
 	}
-	here := func(candidate owner) bool { return o.regions.In(candidate.FailureDomain) == region }
+	inRegion := func(candidate owner) bool { return o.regions.In(candidate.FailureDomain) == region }
 	slices.SortStableFunc(list, func(a, b owner) int {
-		return cmp.Or(compareBool(b.able, a.able), compareBool(here(b), here(a)))
+		return cmp.Or(compareBool(b.capable, a.capable), compareBool(inRegion(b), inRegion(a)))
 	})
 }
 
-// elsewhere tells whether an instance stands in another region than a part that is cut by region.
-func (o *owners) elsewhere(part pipeline.Part, candidate owner) bool {
+// outsideRegion reports whether a part is assigned to a region other than the instance's.
+func (o *owners) outsideRegion(part pipeline.Part, candidate owner) bool {
 	region := o.regions.Of(part)
 	return region != "" && o.regions.In(candidate.FailureDomain) != region
 }
 
-// rank sorts instances: those that are able first, by their weight.
+// rank sorts instances by capability, then by weight.
 func rank(list []owner) {
 	machines := make([]membership.Machine, len(list))
 	for i, candidate := range list {
 		machines[i] = candidate.Machine
 	}
 	for i, able := range membership.Able(machines) {
-		list[i].able = able
+		list[i].capable = able
 	}
 	slices.SortFunc(list, func(a, b owner) int {
-		return cmp.Or(compareBool(b.able, a.able), cmp.Compare(b.weight, a.weight))
+		return cmp.Or(compareBool(b.capable, a.capable), cmp.Compare(b.weight, a.weight))
 	})
 }
 
 // compareBool orders false before true.
 func compareBool(a, b bool) int { return choose(a, 1, 0) - choose(b, 1, 0) }
 
-// first returns the instance that would own a part.
-func (o *owners) first(part pipeline.Part) ownership.Owner {
+// preferredOwner returns the preferred owner of a part that nobody has claimed.
+func (o *owners) preferredOwner(part pipeline.Part) ownership.Owner {
 	list := o.ranked(part)
 	address := o.candidates(part)[0]
 	for _, candidate := range list {
@@ -213,18 +215,18 @@
 	return list[0].Owner()
 }
 
-// silentDomains returns the other failure domains of which several are suspected.
-func (o *owners) silentDomains(live []membership.Member) map[string]bool {
+// unreachableDomains returns the other failure domains with several suspected instances.
+func (o *owners) unreachableDomains(live []membership.Member) map[string]bool {
 	suspects := map[string]int{}
-	silent := map[string]bool{}
+	unreachable := map[string]bool{}
 	for _, m := range live {
 		if m.FailureDomain == o.self.FailureDomain || !o.suspected(m.PeerAddress) {
 			continue
 		}
 		suspects[m.FailureDomain]++
-		silent[m.FailureDomain] = suspects[m.FailureDomain] >= suspectsOfDomain
+		unreachable[m.FailureDomain] = suspects[m.FailureDomain] >= domainSuspectThreshold
 	}
-	return silent
+	return unreachable
 }
 
 func (o *owners) suspected(address string) bool {
@@ -233,36 +235,36 @@
 	return o.clock.Now().Before(o.suspects[address].until)
 }
 
-// suspect notes that an owner did not answer.
+// suspect marks an owner as unresponsive.
 func (o *owners) suspect(address string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.clock.Now()
 	s := o.suspects[address]
-	if now.Before(s.until) && !s.trying {
-		// Several calls that were under way end together.
+	if now.Before(s.until) && !s.probing {
+		// Concurrent calls that fail together count once.
 		return
 	}
-	s.trying = false
-	s.lasts = min(lastSuspect, max(firstSuspect, 2*s.lasts))
-	s.until = now.Add(s.lasts)
+	s.probing = false
+	s.duration = min(maxSuspicion, max(minSuspicion, 2*s.duration))
+	s.until = now.Add(s.duration)
 	o.suspects[address] = s
 }
 
-// try has one plan alone try an owner that was suspected: the others pass it over for a
-// while longer, so that they do not all wait for it if it is still silent.
-func (o *owners) try(address string) {
+// startProbe extends the suspicion of an owner while one plan probes it, so that other plans do not wait
+// for an owner that may still be down.
+func (o *owners) startProbe(address string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if s, ok := o.suspects[address]; ok {
-		s.until = o.clock.Now().Add(trialLasts)
-		s.trying = true
+		s.until = o.clock.Now().Add(probePeriod)
+		s.probing = true
 		o.suspects[address] = s
 	}
 }
 
-// trust notes that an owner answered.
-func (o *owners) trust(address string) {
+// clearSuspicion clears the suspicion of an owner that responded.
+func (o *owners) clearSuspicion(address string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.suspects, address)
--- a/service/handover/owners_test.go
+++ b/service/handover/owners_test.go
@@ -23,9 +23,9 @@
 	return membership.Self{Name: fmt.Sprint("i", n), PeerAddress: fmt.Sprint("address-", n), FailureDomain: fmt.Sprint("zone-", n%2)}
 }
 
-// ownersOf returns the owners as instance n of so many sees them, but those that it has not
-// heard of.
-func ownersOf(clock clockwork.Clock, n, of int, unheard ...int) *owners {
+// newTestOwners returns the owners as seen by instance n of the given number, without the instances in
+// unheard.
+func newTestOwners(clock clockwork.Clock, n, of int, unheard ...int) *owners {
 	return &owners{clock: clock, self: self(n), suspects: map[string]suspicion{}, live: func() []membership.Member {
 		var live []membership.Member
 		for other := range of {
@@ -41,7 +41,7 @@
 	}}
 }
 
-// addressesOf returns the peer addresses of a failure domain's instances, of so many.
+// addressesOf returns the peer addresses of the instances in a failure domain.
 func addressesOf(domain string, of int) []string {
 	var addresses []string
 	for n := range of {
@@ -57,26 +57,26 @@
 
 	BeforeEach(func() { clock = clockwork.NewFakeClock() })
 
-	It("are the same at all instances that know each other, and spread over parts", func() {
+	It("are the same at all instances with the same members, and spread over parts", func() {
 		first := map[string]int{}
-		for part := range 16 {
-			p := pipeline.Part{Number: part, Of: 16}
-			want := ownersOf(clock, 0, 8).of(p)[0]
+		for number := range 16 {
+			p := pipeline.Part{Number: number, Of: 16}
+			want := newTestOwners(clock, 0, 8).ranking(p)[0]
 			for n := range 8 {
-				Expect(ownersOf(clock, n, 8).of(p)[0]).To(Equal(want))
+				Expect(newTestOwners(clock, n, 8).ranking(p)[0]).To(Equal(want))
 			}
 			first[want]++
 		}
 		Expect(len(first)).To(BeNumerically(">=", 4))
 	})
 
-	It("change only where an instance is not known, and end with the instance itself", func() {
+	It("change only if a member is unknown, and end with the local instance", func() {
 		p := pipeline.Part{Of: 1}
-		list := ownersOf(clock, 0, 8).of(p)
+		list := newTestOwners(clock, 0, 8).ranking(p)
 		Expect(list[len(list)-1]).To(Equal(self(0).PeerAddress))
-		Expect(ownersOf(clock, 7, 8, 0).of(p)).To(Equal(func() []string {
+		Expect(newTestOwners(clock, 7, 8, 0).ranking(p)).To(Equal(func() []string {
 			var kept []string
-			for _, address := range ownersOf(clock, 7, 8).of(p) {
+			for _, address := range newTestOwners(clock, 7, 8).ranking(p) {
 				if address != self(0).PeerAddress {
 					kept = append(kept, address)
 				}
@@ -85,10 +85,10 @@
 		}()))
 	})
 
-	It("that were silent are passed over, longer each time, until one answers", func() {
-		o := ownersOf(clock, 0, 2)
+	It("are skipped while suspected, for twice as long after each failure, until they respond", func() {
+		o := newTestOwners(clock, 0, 2)
 		address := self(1).PeerAddress
-		for _, lasts := range []time.Duration{firstSuspect, 2 * firstSuspect, 4 * firstSuspect} {
+		for _, lasts := range []time.Duration{minSuspicion, 2 * minSuspicion, 4 * minSuspicion} {
 			o.suspect(address)
 			o.suspect(address)
 			clock.Advance(lasts - time.Millisecond)
@@ -96,18 +96,18 @@
 			clock.Advance(2 * time.Millisecond)
 			Expect(o.suspected(address)).To(BeFalse())
 		}
-		o.trust(address)
+		o.clearSuspicion(address)
 		o.suspect(address)
-		clock.Advance(firstSuspect)
+		clock.Advance(minSuspicion)
 		Expect(o.suspected(address)).To(BeFalse())
 	})
 
-	It("that are silent give way to one of the own failure domain, the same for all in it", func() {
+	It("are followed by the same candidate for all instances of a failure domain", func() {
 		p := pipeline.Part{Number: 3, Of: 4}
-		owner := ownersOf(clock, 0, 40).candidates(p)[0]
+		owner := newTestOwners(clock, 0, 40).candidates(p)[0]
 		next := map[string]int{}
 		for n := range 40 {
-			o := ownersOf(clock, n, 40)
+			o := newTestOwners(clock, n, 40)
 			list := o.candidates(p)
 			Expect(list[0]).To(Equal(owner))
 			Expect(list[len(list)-1]).To(Equal(self(n).PeerAddress))
@@ -119,31 +119,31 @@
 		Expect(next).To(HaveLen(2))
 	})
 
-	It("that were silent are tried by one plan alone when their time is over", func() {
-		o := ownersOf(clock, 0, 2)
+	It("are probed by a single plan when their suspicion expires", func() {
+		o := newTestOwners(clock, 0, 2)
 		p := pipeline.Part{}
 		for p.Number = 0; o.candidates(p)[0] != self(1).PeerAddress; p.Number++ {
 		}
 		o.suspect(self(1).PeerAddress)
-		clock.Advance(firstSuspect)
+		clock.Advance(minSuspicion)
 		Expect(o.candidates(p)[0]).To(Equal(self(1).PeerAddress))
 		Expect(o.candidates(p)[0]).To(Equal(self(0).PeerAddress))
 		o.suspect(self(1).PeerAddress)
-		clock.Advance(2*firstSuspect - time.Millisecond)
+		clock.Advance(2*minSuspicion - time.Millisecond)
 		Expect(o.candidates(p)[0]).To(Equal(self(0).PeerAddress))
 		clock.Advance(time.Millisecond)
 		Expect(o.candidates(p)[0]).To(Equal(self(1).PeerAddress))
-		o.trust(self(1).PeerAddress)
+		o.clearSuspicion(self(1).PeerAddress)
 		Expect(o.candidates(p)[0]).To(Equal(self(1).PeerAddress))
 	})
 
-	It("are the contacts of the settings at first, the same for all that start together", func() {
+	It("are the configured contacts at first, the same for all instances that start together", func() {
 		contacts := []string{self(3).PeerAddress, self(5).PeerAddress, "gone"}
 		firsts := map[string]int{}
 		for n := range 8 {
 			o := newOwners(clock, self(n), func() []membership.Member { return nil }, contacts)
 			firsts[o.candidates(pipeline.Part{Number: 1})[0]]++
-			clock.Advance(joining)
+			clock.Advance(joinPeriod)
 			Expect(o.candidates(pipeline.Part{Number: 1})).To(Equal([]string{self(n).PeerAddress}))
 		}
 		Expect(firsts).To(Equal(map[string]int{self(5).PeerAddress: 8}))
@@ -151,22 +151,22 @@
 		Expect(o.candidates(pipeline.Part{Number: 1})).To(Equal([]string{self(5).PeerAddress, "gone", self(3).PeerAddress}))
 	})
 
-	It("are not the contacts at first where those would have too many parts", func() {
+	It("are not the contacts at first if there are too many parts for them", func() {
 		o := newOwners(clock, self(0), func() []membership.Member { return nil }, []string{self(3).PeerAddress})
 		Expect(o.candidates(pipeline.Part{Number: 1, Of: 4})[0]).To(Equal(self(3).PeerAddress))
 		Expect(o.candidates(pipeline.Part{Number: 1, Of: 8})).To(Equal([]string{self(0).PeerAddress}))
 	})
 
-	It("stay the contacts while they live, each for one part, whatever else is known", func() {
+	It("remain the live contacts, each for one part, after other members are known", func() {
 		contacts := []string{self(3).PeerAddress, self(5).PeerAddress, "gone"}
 		for n := range 8 {
-			o := newOwners(clock, self(n), ownersOf(clock, n, 8).live, contacts)
-			clock.Advance(joining)
+			o := newOwners(clock, self(n), newTestOwners(clock, n, 8).live, contacts)
+			clock.Advance(joinPeriod)
 			Expect(o.candidates(pipeline.Part{Number: 0})[0]).To(Equal(contacts[0]))
 			Expect(o.candidates(pipeline.Part{Number: 1})[0]).To(Equal(contacts[1]))
 			for _, number := range []int{2, 3, 4} {
 				part := pipeline.Part{Number: number}
-				Expect(o.candidates(part)[0]).To(Equal(ownersOf(clock, n, 8).candidates(part)[0]))
+				Expect(o.candidates(part)[0]).To(Equal(newTestOwners(clock, n, 8).candidates(part)[0]))
 			}
 			if n != 3 {
 				o.suspect(contacts[0])
@@ -175,22 +175,22 @@
 		}
 	})
 
-	It("are not looked for in a failure domain where several were silent", func() {
-		o := ownersOf(clock, 0, 40)
+	It("are not chosen in a failure domain with several suspected instances", func() {
+		o := newTestOwners(clock, 0, 40)
 		o.suspect(self(1).PeerAddress)
 		o.suspect(self(3).PeerAddress)
 		for number := range 16 {
 			for _, address := range o.candidates(pipeline.Part{Number: number}) {
-				Expect(o.silentDomains(o.live())).To(HaveKeyWithValue("zone-1", true))
+				Expect(o.unreachableDomains(o.live())).To(HaveKeyWithValue("zone-1", true))
 				Expect(address).To(BeElementOf(addressesOf("zone-0", 40)))
 			}
 		}
 	})
 
-	// sized returns the owners as an instance sees them that knows all of some instances, of which
-	// every third has a large machine.
+	// sized returns the owners as seen by instance n of the given number, every third of which has a
+	// large machine.
 	sized := func(n, of int) *owners {
-		o := ownersOf(clock, n, of)
+		o := newTestOwners(clock, n, of)
 		machine := func(n int) membership.Machine {
 			if n%3 == 2 {
 				return membership.Machine{Cores: 0.8, LinkMbps: 200}
@@ -209,7 +209,7 @@
 		return o
 	}
 
-	It("are chosen among the able ones, the same at all instances, though a contact is not able", func() {
+	It("are chosen among capable instances, the same everywhere, even if a contact is not capable", func() {
 		for part := range 8 {
 			p := pipeline.Part{Number: part, Of: 8}
 			owners := map[string]bool{}
@@ -217,33 +217,33 @@
 				o := sized(n, 12)
 				o.contacts = []string{self(0).PeerAddress, self(1).PeerAddress}
 				owners[o.candidates(p)[0]] = true
-				Expect(o.first(p).PeerAddress).To(Equal(o.candidates(p)[0]))
+				Expect(o.preferredOwner(p).PeerAddress).To(Equal(o.candidates(p)[0]))
 			}
 			Expect(owners).To(HaveLen(1))
 			Expect(owners).To(SatisfyAny(HaveKey("address-2"), HaveKey("address-5"), HaveKey("address-8"), HaveKey("address-11")))
 		}
 	})
 
-	It("give a part to one that is able and owns none, unless they are able and own one", func() {
+	It("transfer a part to a capable instance without one, unless they are capable and own only one", func() {
 		p := pipeline.Part{Of: 4}
-		Expect(sized(0, 12).relief(p, 1, map[string]bool{"i0": true, "i2": true})).To(HaveLen(3))
-		Expect(sized(2, 12).relief(p, 1, map[string]bool{"i2": true})).To(BeEmpty())
-		Expect(sized(2, 12).relief(p, 2, map[string]bool{"i2": true, "i5": true})).To(ConsistOf(HaveField("Name", "i8"), HaveField("Name", "i11")))
+		Expect(sized(0, 12).transferTargets(p, 1, map[string]bool{"i0": true, "i2": true})).To(HaveLen(3))
+		Expect(sized(2, 12).transferTargets(p, 1, map[string]bool{"i2": true})).To(BeEmpty())
+		Expect(sized(2, 12).transferTargets(p, 2, map[string]bool{"i2": true, "i5": true})).To(ConsistOf(HaveField("Name", "i8"), HaveField("Name", "i11")))
 		all := map[string]bool{"i2": true, "i5": true, "i8": true, "i11": true}
-		Expect(sized(0, 12).relief(p, 1, all)).To(BeEmpty(), "nobody who is able has none")
+		Expect(sized(0, 12).transferTargets(p, 1, all)).To(BeEmpty(), "every capable instance owns a part")
 	})
 
-	It("keep their parts where all machines are small", func() {
+	It("keep their parts if all machines are small", func() {
 		p := pipeline.Part{Of: 1}
 		for n := range 2 {
-			Expect(sized(n, 2).relief(p, 1, map[string]bool{})).To(BeEmpty())
+			Expect(sized(n, 2).transferTargets(p, 1, map[string]bool{})).To(BeEmpty())
 		}
 	})
 })
 
 var _ = Describe("relays", func() {
-	It("are the able ones of a failure domain", func() {
-		o := ownersOf(clockwork.NewFakeClock(), 0, 40)
+	It("are the capable instances of a failure domain", func() {
+		o := newTestOwners(clockwork.NewFakeClock(), 0, 40)
 		live := o.live()
 		for i := range live {
 			live[i].Machine = membership.Machine{Cores: 0.192, LinkMbps: 20}
@@ -256,19 +256,19 @@
 	})
 
 	relays := func(n, of int) []string {
-		o := ownersOf(clockwork.NewFakeClock(), n, of)
+		o := newTestOwners(clockwork.NewFakeClock(), n, of)
 		k := &Knowledge{Self: self(n), Live: o.live}
 		return k.Relays()
 	}
 
-	It("are none where few instances are in a failure domain", func() {
+	It("are not used in a small failure domain", func() {
 		for n := range 8 {
 			Expect(relays(n, 8)).To(BeEmpty())
 		}
 	})
 
-	It("are asked in other failure domains last, one for each instance, and spread", func() {
-		o := ownersOf(clockwork.NewFakeClock(), 0, 120)
+	It("of another failure domain come last, one for each instance, spread over the domains", func() {
+		o := newTestOwners(clockwork.NewFakeClock(), 0, 120)
 		live := o.live()
 		for i := range live {
 			live[i].FailureDomain = fmt.Sprint("zone-", i%6)
@@ -284,7 +284,7 @@
 		Expect(last).To(HaveLen(5))
 	})
 
-	It("are the same two of a failure domain for all others in it, and the first for the second", func() {
+	It("are the same two for all instances of a failure domain, and the first for the second", func() {
 		elsewheres := map[string]int{}
 		lists := map[string]int{}
 		firsts := map[string]int{}
--- a/service/handover/packing_test.go
+++ b/service/handover/packing_test.go
@@ -15,7 +15,8 @@
 	"github.com/cobaltcroft/cobaltcroft/service/api"
 )
 
-// manyEndpoints returns endpoints whose names and addresses say no more than those of a deployment.
+// manyEndpoints returns endpoints with random names and addresses, which compress like those of a
+// deployment.
 func manyEndpoints(n int) []fleet.Endpoint {
 	random := rand.New(rand.NewPCG(1, 2))
 	var list []fleet.Endpoint
@@ -39,7 +40,7 @@
 	return changes
 }
 
-// overWire returns what the other side reads of an answer.
+// overWire returns an answer after a JSON round trip.
 func overWire[T any](answer T) T {
 	GinkgoHelper()
 	data, err := json.Marshal(answer)
@@ -49,30 +50,30 @@
 	return read
 }
 
-var _ = Describe("packed endpoints", func() {
-	var p *packing
+var _ = Describe("compressed endpoints", func() {
+	var p *endpointPacker
 
-	BeforeEach(func() { p = &packing{} })
+	BeforeEach(func() { p = &endpointPacker{} })
 
 	many := manyEndpoints(200)
 	known := discovery.Known{State: discovery.State{Revision: 9, Endpoints: many}, Mark: discovery.Mark{Revision: 4}}
 	relayed := discovery.Relayed{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many)}, Mark: discovery.Mark{Revision: 4}}
 
-	It("are all endpoints that a peer knows", func() {
+	It("restore all endpoints of a peer", func() {
 		read := overWire(p.state(known, true))
 		Expect(read.State.Endpoints).To(BeEmpty())
 		Expect(unpack(read.PackedEndpoints, &read.State.Endpoints)).To(Succeed())
 		Expect(read.Known).To(Equal(known))
 	})
 
-	It("are the changes that a relay tells", func() {
+	It("restore the changes of a relay", func() {
 		read := overWire(p.changes(5, relayed, true))
 		Expect(read.Changes.Endpoints).To(BeEmpty())
 		Expect(unpack(read.PackedChanges, &read.Changes.Endpoints)).To(Succeed())
 		Expect(read.Relayed).To(Equal(relayed))
 	})
 
-	It("are packed once for all who ask the same, and anew for what differs", func() {
+	It("are compressed once for identical requests, and separately for different ones", func() {
 		first := p.changes(5, relayed, true).PackedChanges
 		Expect(&p.changes(5, relayed, true).PackedChanges[0]).To(BeIdenticalTo(&first[0]))
 		Expect(&p.changes(4, relayed, true).PackedChanges[0]).NotTo(BeIdenticalTo(&first[0]))
@@ -81,21 +82,21 @@
 		Expect(&p.changes(5, later, true).PackedChanges[0]).NotTo(BeIdenticalTo(&first[0]))
 	})
 
-	It("are bounded in number", func() {
-		for since := range uint64(3 * packsKept) {
+	It("are cached in a bounded number", func() {
+		for since := range uint64(3 * maxCachedAnswers) {
 			p.changes(since, relayed, true)
 		}
-		Expect(p.kept).To(HaveLen(packsKept))
+		Expect(p.cache).To(HaveLen(maxCachedAnswers))
 	})
 
-	It("are told plainly to a version that does not read them, and where there are few", func() {
+	It("are not used for peers without support, or for few endpoints", func() {
 		Expect(p.state(known, false)).To(Equal(api.Known{Known: known}))
 		Expect(p.changes(5, relayed, false)).To(Equal(api.Relayed{Relayed: relayed}))
-		few := discovery.Relayed{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many[:packedFrom-1])}}
+		few := discovery.Relayed{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many[:minPackedEndpoints-1])}}
 		Expect(p.changes(5, few, true)).To(Equal(api.Relayed{Relayed: few}))
 	})
 
-	It("that are damaged are a problem, and nothing that a peer is believed", func() {
+	It("are rejected if damaged", func() {
 		packed := p.state(known, true).PackedEndpoints
 		var read []fleet.Endpoint
 		Expect(problem.KindOf(unpack(packed[:len(packed)/2], &read))).To(Equal(problem.Invalid))
@@ -103,8 +104,7 @@
 	})
 })
 
-// BenchmarkPacking gives the bytes of an endpoint in a relay's answer, and the time that packing 3,000 takes.
-// Before, an answer was not packed: 141 bytes an endpoint, now 30.
+// BenchmarkPacking measures the bytes per endpoint in a relay's answer, and the compression time.
 func BenchmarkPacking(b *testing.B) {
 	const endpoints = 3000
 	changes := changesOf(manyEndpoints(endpoints))
@@ -114,8 +114,8 @@
 	}
 	var packed []byte
 	for b.Loop() {
-		p := &packing{}
-		if packed, err = p.pack(packKey{revision: 1}, changes); err != nil {
+		p := &endpointPacker{}
+		if packed, err = p.pack(packedKey{revision: 1}, changes); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/service/handover/permits.go
+++ b/service/handover/permits.go
@@ -9,13 +9,14 @@
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
 )
 
-// Permits asks other instances for calls to endpoints that name a limit for all.
+// Permits implements throttle.Peers: it requests permits for endpoints that have a limit shared by
+// all instances.
 type Permits struct {
 	Client   *peers.Client
 	Instance membership.Self
-	// Stopping tells whether this instance leaves.
+	// Stopping reports whether this instance is leaving.
 	Stopping func() bool
-	// Members returns the others that live and do not leave, Departing those that live and leave.
+	// Members returns the other live members that are not leaving, Departing those that are.
 	Members   func() []membership.Member
 	Departing func() []membership.Member
 }
--- a/service/handover/progress.go
+++ b/service/handover/progress.go
@@ -12,8 +12,8 @@
 	"github.com/cobaltcroft/cobaltcroft/service/api"
 )
 
-// progress has what was made of the plans that this instance has handed over, so that they go on
-// from there if their planner fails. Safe for concurrent use.
+// progress keeps the stage results reported for plans that were handed over, so that they can be
+// resumed if their planner fails. Safe for concurrent use.
 type progress struct {
 	mu   sync.Mutex
 	made map[string][][]batch.Result
@@ -21,7 +21,7 @@
 
 func newProgress() *progress { return &progress{made: map[string][][]batch.Result{}} }
 
-// begin notes a call that hands a plan over.
+// begin starts to track a call that hands over a plan.
 func (p *progress) begin(call string, plan *pipeline.Plan) {
 	made := make([][]batch.Result, len(plan.Stages))
 	copy(made, plan.Made)
@@ -30,7 +30,7 @@
 	p.made[call] = made
 }
 
-// end forgets a call, and returns what was made of its plan.
+// end stops tracking a call and returns the results of its plan.
 func (p *progress) end(call string) [][]batch.Result {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,8 +39,8 @@
 	return made
 }
 
-// stageMade notes the results of a stage. One that comes when its call has ended says nothing new.
-func (p *progress) stageMade(call string, stage int, results []batch.Result) error {
+// stageCompleted records the results of a stage. Reports for calls that have ended are ignored.
+func (p *progress) stageCompleted(call string, stage int, results []batch.Result) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	made, known := p.made[call]
@@ -48,25 +48,25 @@
 		return nil
 	}
 	if stage < 0 || stage >= len(made) {
-		return problem.New(problem.Invalid, "run one version of the program", "a plan of %d stages has no stage %d", len(made), stage)
+		return problem.New(problem.Invalid, "run the same version on all instances", "progress report for a plan of %d stages: no stage %d", len(made), stage)
 	}
 	made[stage] = results
 	return nil
 }
 
-// tellProgress returns what tells the instance at an address of the stages that are made of the
-// plan that it handed over with a call. It is told beside the plan's work, and may be lost: then
-// the stage is made again.
-func (r *Router) tellProgress(address, call string) func(stage int, results []batch.Result) {
+// progressReporter returns a function that reports completed stages to the instance that handed over a
+// plan. Reports are sent in the background and may be lost; a stage whose report is lost may run
+// again.
+func (r *Router) progressReporter(address, call string) func(stage int, results []batch.Result) {
 	if address == "" {
 		return nil
 	}
 	return func(stage int, results []batch.Result) {
-		told := withTimesLeft([][]batch.Result{results}, r.clock.Now())[0]
+		sent := withRemainingTimes([][]batch.Result{results}, r.clock.Now())[0]
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 			defer cancel()
-			err := r.client.Notify(ctx, address, api.MethodProgress, api.Progress{Call: call, Stage: stage, Results: told})
+			err := r.client.Notify(ctx, address, api.MethodProgress, api.Progress{Call: call, Stage: stage, Results: sent})
 			if err != nil {
 				r.log.WithFields(logrus.Fields{"event": "progress_not_told", "to": address, "call": call}).Debug(err)
 			}
--- a/service/handover/regions_test.go
+++ b/service/handover/regions_test.go
@@ -17,35 +17,35 @@
 	"github.com/cobaltcroft/cobaltcroft/service/api"
 )
 
-// refusing answers plans, but refuses those of some regions.
-type refusing struct {
+// refusingCaller is a caller whose peers refuse plans of busy regions.
+type refusingCaller struct {
 	regions ownership.Regions
 	busy    map[string]bool
-	// asked are the regions of the plans that came, told the addresses that they came to.
-	asked []string
-	told  []string
+	// regionsAsked has the regions of the received plans, addresses their receivers.
+	regionsAsked []string
+	addresses    []string
 }
 
-func (r *refusing) Call(_ context.Context, address, method string, params, result any) error {
+func (r *refusingCaller) Call(_ context.Context, address, method string, params, result any) error {
 	if method != api.MethodRun {
 		return nil
 	}
 	call := params.(api.Run)
 	region := r.regions.Of(call.Part)
-	r.asked, r.told = append(r.asked, region), append(r.told, address)
+	r.regionsAsked, r.addresses = append(r.regionsAsked, region), append(r.addresses, address)
 	if r.busy[region] {
 		result.(*api.Ran).Reason = pipeline.Busy
 	}
 	return nil
 }
 
-func (r *refusing) Notify(context.Context, string, string, any) error { return nil }
+func (r *refusingCaller) Notify(context.Context, string, string, any) error { return nil }
 
-var _ = Describe("plans where there are regions", func() {
+var _ = Describe("plans in a cluster with regions", func() {
 	regions := ownership.NewRegions(map[string]string{"zone-0": "north", "zone-1": "south", "zone-2": "west"})
 	var (
 		clock  *clockwork.FakeClock
-		client *refusing
+		client *refusingCaller
 		supply ownership.Supply
 		router *Router
 	)
@@ -66,7 +66,7 @@
 
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
-		client = &refusing{regions: regions, busy: map[string]bool{}}
+		client = &refusingCaller{regions: regions, busy: map[string]bool{}}
 		supply = ownership.Supply{All: 15, Regions: map[string]int{"north": 5, "south": 5, "west": 5}}
 		var live []membership.Member
 		for n := 1; n < 12; n++ {
@@ -74,7 +74,7 @@
 		}
 		pieces := &heldPieces{}
 		router = NewRouter(Options{
-			// It ranks last everywhere, so that all plans go to others.
+			// The small machine ranks last, so that all plans go to peers.
 			Self: membership.Self{Name: "i0", PeerAddress: "address-0", FailureDomain: "zone-0", Machine: membership.Machine{Cores: 0.001}},
 			Live: func() []membership.Member { return live }, Client: client,
 			Planner: pipeline.NewPlanner(pieces, clock, metrics.NewSet(), logging.Discard().For("pipeline")),
@@ -85,52 +85,52 @@
 		}
 	})
 
-	It("are made in their instance's own region, by an owner there", func() {
+	It("run in the home region, on an owner there", func() {
 		for n := range 20 {
 			Expect(run(n).Reason).To(BeEmpty())
 		}
-		Expect(client.asked).To(HaveLen(20))
-		Expect(client.asked).To(HaveEach("north"))
-		for _, address := range client.told {
+		Expect(client.regionsAsked).To(HaveLen(20))
+		Expect(client.regionsAsked).To(HaveEach("north"))
+		for _, address := range client.addresses {
 			Expect(zoneOf(address)).To(Equal("zone-0"))
 		}
 	})
 
-	It("that their region refuses are made in another, unless that refused one just now", func() {
+	It("run in another region if the home region refuses them, unless that one refused a plan recently", func() {
 		client.busy["north"] = true
 		Expect(run(1).Reason).To(BeEmpty())
-		Expect(client.asked).To(HaveLen(2))
-		Expect(client.asked[0]).To(Equal("north"))
+		Expect(client.regionsAsked).To(HaveLen(2))
+		Expect(client.regionsAsked[0]).To(Equal("north"))
 		client.busy["south"], client.busy["west"] = true, true
 		Expect(run(2).Reason).To(Equal(pipeline.Busy))
-		Expect(client.asked).To(HaveLen(5))
+		Expect(client.regionsAsked).To(HaveLen(5))
 		Expect(run(3).Reason).To(Equal(pipeline.Busy))
-		Expect(client.asked).To(HaveLen(6), "all others have just refused")
-		clock.Advance(busyFor)
+		Expect(client.regionsAsked).To(HaveLen(6), "all other regions refused recently")
+		clock.Advance(busyPeriod)
 		Expect(run(4).Reason).To(Equal(pipeline.Busy))
-		Expect(client.asked).To(HaveLen(9))
+		Expect(client.regionsAsked).To(HaveLen(9))
 	})
 
-	It("go elsewhere while their region has no endpoints for a stage", func() {
+	It("run in another region while the home region lacks endpoints for a stage", func() {
 		supply.Regions["north"] = 0
 		Expect(run(1).Reason).To(BeEmpty())
-		Expect(client.asked).To(HaveLen(1))
-		Expect(client.asked[0]).NotTo(Equal("north"))
+		Expect(client.regionsAsked).To(HaveLen(1))
+		Expect(client.regionsAsked[0]).NotTo(Equal("north"))
 	})
 
-	It("are given to an owner of the part's region, where one is able", func() {
+	It("are transferred to a capable owner in the part's region", func() {
 		inNorth := ownership.Part{Number: 0, Of: 3}
 		inSouth := ownership.Part{Number: 1, Of: 3}
-		Expect(router.owners.relief(inSouth, 1, map[string]bool{})).NotTo(BeEmpty())
-		for _, o := range router.owners.relief(inSouth, 1, map[string]bool{}) {
+		Expect(router.owners.transferTargets(inSouth, 1, map[string]bool{})).NotTo(BeEmpty())
+		for _, o := range router.owners.transferTargets(inSouth, 1, map[string]bool{}) {
 			Expect(zoneOf(o.PeerAddress)).To(Equal("zone-1"))
 		}
 		router.owners.self.Machine = membership.Machine{Cores: 1}
-		Expect(router.owners.relief(inNorth, 1, map[string]bool{})).To(BeEmpty())
-		Expect(router.owners.relief(inSouth, 1, map[string]bool{})).NotTo(BeEmpty())
+		Expect(router.owners.transferTargets(inNorth, 1, map[string]bool{})).To(BeEmpty())
+		Expect(router.owners.transferTargets(inSouth, 1, map[string]bool{})).NotTo(BeEmpty())
 	})
 
-	It("are cut as before where there is one region", func() {
+	It("use parts without regions if there is only one region", func() {
 		router.divisions.regions, router.owners.regions = ownership.NewRegions(map[string]string{"zone-0": "north", "zone-1": "north"}), ownership.Regions{}
 		supply = ownership.Supply{All: 15, Regions: map[string]int{"north": 15}}
 		Expect(router.divisions.regionsFor("request")).To(Equal([]string{""}))
--- a/service/handover/relief.go
+++ b/service/handover/relief.go
@@ -9,46 +9,46 @@
 	"github.com/cobaltcroft/cobaltcroft/service/api"
 )
 
-// Look is called each second. The owner of the first part decides whether the endpoints are to be
-// cut into other parts, and an owner hands a part over that another instance is better able to own.
+// Look runs the periodic ownership checks, once per second. The owner of the first part
+// re-evaluates the division; every owner checks whether to transfer a part.
 func (r *Router) Look() {
-	if r.owners.leftAt.Load() != nil || r.clock.Now().Before(r.owners.joined) {
+	if r.owners.leftAt.Load() != nil || r.clock.Now().Before(r.owners.joinedAt) {
 		return
 	}
-	if r.claims.owns(pipeline.Part{Of: r.divisions.inForce().Parts}) {
-		r.divisions.look()
+	if r.claims.owns(pipeline.Part{Of: r.divisions.current().Parts}) {
+		r.divisions.update()
 	}
-	if !r.settle() {
-		r.relieve()
+	if !r.settleProvisional() {
+		r.rebalance()
 	}
 }
 
-// relieve hands a part over, as a planned stop does, if this instance is not able to own any, or
-// owns several, while another that is able owns none.
-func (r *Router) relieve() {
-	parts := r.divisions.inForce().Parts
+// rebalance transfers one part if this instance's machine is too small, or if it owns several parts
+// while another capable instance owns none.
+func (r *Router) rebalance() {
+	parts := r.divisions.current().Parts
 	own := slices.DeleteFunc(r.claims.own(), func(c ownership.Claim) bool { return c.Part.Of != parts })
-	if len(own) == 0 || r.giving.Swap(true) {
+	if len(own) == 0 || r.transferring.Swap(true) {
 		return
 	}
 	part := own[len(own)-1].Part
-	successors := r.owners.relief(part, len(own), r.claims.holders(parts))
+	successors := r.owners.transferTargets(part, len(own), r.claims.holders(parts))
 	if len(successors) == 0 {
-		r.giving.Store(false)
+		r.transferring.Store(false)
 		return
 	}
 	go func() {
-		defer r.giving.Store(false)
-		if r.answers(successors[0]) {
-			r.giveToFirst(part, successors[:1], "abler")
+		defer r.transferring.Store(false)
+		if r.probe(successors[0]) {
+			r.transferToFirst(part, successors[:1], "abler")
 		}
 	}()
 }
 
-// answers tells whether an instance is reached. Members of other failure domains are not heard
-// often enough to tell that they are cut off; a part that is given to such a one is planned by nobody
-// for takeTimeout, and an owner inside a cut would give it again each second.
-func (r *Router) answers(owner ownership.Owner) bool {
+// probe pings an instance and suspects it if it does not respond. Heartbeats from other failure
+// domains are too rare to detect a partition, and a part that is transferred to an unreachable
+// instance has no planner for transferTimeout.
+func (r *Router) probe(owner ownership.Owner) bool {
 	reached := r.ping(owner.PeerAddress)
 	if !reached {
 		r.owners.suspect(owner.PeerAddress)
@@ -56,30 +56,31 @@
 	return reached
 }
 
-// ping tells whether the instance at an address answers within takeTimeout.
+// ping reports whether the instance at an address responds within transferTimeout.
 func (r *Router) ping(address string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), takeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
 	return r.client.Call(ctx, address, api.MethodPing, struct{}{}, &struct{}{}) == nil
 }
 
-// relief returns the members that should own a part rather than this instance, which owns so many:
-// those that are able and own none. There are none if this instance is able itself, of the part's
-// region, and owns one; if it is not of the region, those that are.
-func (o *owners) relief(part pipeline.Part, owned int, holders map[string]bool) []ownership.Owner {
-	var free []ownership.Owner
-	able, displaced := false, o.elsewhere(part, owner{Self: o.self})
+// transferTargets returns the members to which this instance should transfer a part: capable
+// instances that own no part. The result is empty if this instance is capable, is in the part's
+// region and owns only one part. If it is outside the region, only instances of the region are
+// returned.
+func (o *owners) transferTargets(part pipeline.Part, owned int, holders map[string]bool) []ownership.Owner {
+	var targets []ownership.Owner
+	capable, outside := false, o.outsideRegion(part, owner{Self: o.self})
 	for _, candidate := range o.ranked(part) {
 		if candidate.Name == o.self.Name {
-			able = candidate.able
+			capable = candidate.capable
 			continue
 		}
-		if candidate.able && !holders[candidate.Name] && !(displaced && o.elsewhere(part, candidate)) {
-			free = append(free, candidate.Owner())
+		if candidate.capable && !holders[candidate.Name] && !(outside && o.outsideRegion(part, candidate)) {
+			targets = append(targets, candidate.Owner())
 		}
 	}
-	if able && owned <= 1 && !displaced {
+	if capable && owned <= 1 && !outside {
 		return nil
 	}
-	return free
+	return targets
 }
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -21,69 +21,67 @@
 
 const (
 	notifyTimeout = 300 * time.Millisecond
-	// maxTurns bounds the instances that one plan is handed to.
-	maxTurns = 6
-	// silentWhenCutOff is how many instances are silent to one plan if this one is taken to be
-	// cut off, rather than them to have failed.
-	silentWhenCutOff = 2
+	// maxPlacementAttempts bounds the attempts to place one plan.
+	maxPlacementAttempts = 6
+	// partitionThreshold is how many unresponsive instances make this instance consider itself
+	// partitioned, so that it claims no part.
+	partitionThreshold = 2
 )
 
-// Router has the stages of requests made by the owner of their part. Safe for concurrent
-// use.
+// Router runs the stages of requests on the instance that owns their part. Safe for concurrent use.
 type Router struct {
 	owners    *owners
 	claims    *claims
 	client    caller
 	planner   *pipeline.Planner
-	makers    makers
+	results   resultStore
 	divisions *divisions
 	clock     clockwork.Clock
 	log       *logrus.Entry
 	progress  *progress
-	// giving says that a part is being handed over.
-	giving atomic.Bool
-	// busy are the regions that refused a plan lately.
-	busy busyRegions
+	// transferring is set while a part is being transferred.
+	transferring atomic.Bool
+	busy         busyRegions
 }
 
 var _ gateway.Stages = (*Router)(nil)
 
-// caller calls the methods of peers.
+// caller sends calls to peers.
 type caller interface {
-	// Call calls a method of the peer at an address, and reads its answer into result.
+	// Call calls a method of a peer and decodes the answer into result.
 	Call(ctx context.Context, address, method string, params, result any) error
-	// Notify sends a message that has no answer. It may be lost.
+	// Notify sends a message without an answer. Delivery is not guaranteed.
 	Notify(ctx context.Context, address, method string, params any) error
 }
 
 var _ caller = (*peers.Client)(nil)
 
-// makers give up results.
-type makers interface {
-	// Free gives results up where they were made.
+// resultStore manages the results held by endpoints.
+type resultStore interface {
+	// Free releases results on the endpoints that hold them.
 	Free(results []batch.Result)
-	// Rehome returns results with the queues of their makers among so many parts.
+	// Rehome returns results with their queues mapped to a division into the given number of parts.
 	Rehome(results []batch.Result, parts int) []batch.Result
 }
 
-var _ makers = (*batch.Batcher)(nil)
+var _ resultStore = (*batch.Batcher)(nil)
 
-// Options of a router.
+// Options configure a Router.
 type Options struct {
 	Self membership.Self
-	// Live returns the other live members, Leaving those that leave; nil: none.
+	// Live returns the other live members, Leaving those that are leaving. Leaving may be nil.
 	Live    func() []membership.Member
 	Leaving func() []membership.Member
-	// Contacts are the peer addresses of the settings, which own the parts at first.
+	// Contacts are the configured peer addresses, which own the parts at first.
 	Contacts []string
 	Client   caller
 	Planner  *pipeline.Planner
 	Batcher  *batch.Batcher
-	// Supply returns how many endpoints there are; Regions has the region of each failure domain.
+	// Supply returns the endpoint counts. Regions maps failure domains to regions.
 	Supply  func() ownership.Supply
 	Regions ownership.Regions
-	// Tell has all others told at once of an owner or a division that was decided on here; nil: with
-	// the next heartbeat.
+	// Tell triggers a heartbeat after this instance changed an owner or the division. If nil, the
+	// change goes out with the next regular heartbeat.
 	Tell  func()
 	Clock clockwork.Clock
 	Log   *logrus.Entry
@@ -95,50 +93,50 @@
 		owners:   newOwners(o.Clock, o.Self, o.Live, o.Contacts),
 		client:   o.Client,
 		planner:  o.Planner,
-		makers:   o.Batcher,
+		results:  o.Batcher,
 		clock:    o.Clock,
 		log:      o.Log,
 		progress: newProgress(),
 		busy:     busyRegions{until: map[string]time.Time{}},
 	}
 	r.owners.leaving, r.owners.regions = o.Leaving, o.Regions
-	tell := o.Tell
-	if tell == nil {
-		tell = func() {}
+	broadcast := o.Tell
+	if broadcast == nil {
+		broadcast = func() {}
 	}
-	r.divisions = &divisions{clock: o.Clock, log: o.Log, supply: o.Supply, regions: o.Regions, home: o.Regions.In(o.Self.FailureDomain), decided: tell, changed: func(d ownership.Division) { go r.divided(d) }}
+	r.divisions = &divisions{clock: o.Clock, log: o.Log, supply: o.Supply, regions: o.Regions, homeRegion: o.Regions.In(o.Self.FailureDomain), onDecision: broadcast, onChange: func(d ownership.Division) { go r.applyDivision(d) }}
 	r.claims = newClaims(o.Clock, o.Log, o.Self.Owner())
-	r.claims.changed, r.claims.lost, r.claims.staysWith = tell, r.superseded, r.owners.staysWith
-	r.claims.won = func(won ownership.Claim) { r.planner.Resume(won.Part) }
+	r.claims.onChange, r.claims.onLost, r.claims.prefersOwner = broadcast, r.yield, r.owners.prefersOwner
+	r.claims.onWon = func(won ownership.Claim) { r.planner.Resume(won.Part) }
 	return r
 }
 
-// Claims returns what the others are told of the owners of parts: of the division in force.
+// Claims returns the claims to advertise in heartbeats, limited to the current division.
 func (r *Router) Claims() []ownership.Claim {
-	parts := r.divisions.inForce().Parts
-	return slices.DeleteFunc(r.claims.told(), func(c ownership.Claim) bool { return c.Part.Of != parts })
+	parts := r.divisions.current().Parts
+	return slices.DeleteFunc(r.claims.advertised(), func(c ownership.Claim) bool { return c.Part.Of != parts })
 }
 
-// HearClaims takes in what another instance tells of the owners of parts.
-func (r *Router) HearClaims(heard []ownership.Claim) { r.claims.hear(heard, "heard") }
+// HearClaims merges the claims in a heartbeat.
+func (r *Router) HearClaims(heard []ownership.Claim) { r.claims.merge(heard, "heard") }
 
-// Division returns the division that the others are told of; the zero one if none is agreed on.
+// Division returns the division to advertise, or the zero value if none is agreed on.
 func (r *Router) Division() ownership.Division { return r.divisions.agreed() }
 
-// HearDivision takes in the division that another instance goes by.
-func (r *Router) HearDivision(heard ownership.Division) { r.divisions.hear(heard, "heard") }
+// HearDivision merges the division in a heartbeat.
+func (r *Router) HearDivision(heard ownership.Division) { r.divisions.merge(heard, "heard") }
 
-// Run implements gateway.Stages. A plan whose division changes goes on in the next one.
+// Run implements gateway.Stages. If the division changes, the plan continues under the new one.
 func (r *Router) Run(ctx context.Context, plan pipeline.Plan) pipeline.Outcome {
 	if len(plan.Within) > 0 {
-		// Its owner may stand where nothing of the request may be.
+		// The owner may be outside the regions that the request is restricted to.
 		whole := pipeline.Part{Of: 1}
 		r.planner.Resume(whole)
 		return r.planner.Run(ctx, whole, plan)
 	}
 	var refused pipeline.Outcome
 	for at, region := range r.divisions.regionsFor(plan.Request) {
-		if at > 0 && !r.spills(region) {
+		if at > 0 && !r.mayOverflowTo(region) {
 			continue
 		}
 		plan.Region = region
@@ -146,16 +144,16 @@
 		if outcome.Reason != pipeline.Busy {
 			return outcome
 		}
-		r.noteBusy(region)
+		r.markBusy(region)
 		refused = outcome
 	}
 	return refused
 }
 
-// runPlan has the stages of a plan made in its region.
+// runPlan runs the stages of a plan in the plan's region.
 func (r *Router) runPlan(ctx context.Context, plan pipeline.Plan) pipeline.Outcome {
-	for range maxTurns {
-		outcome := r.runIn(ctx, r.divisions.partOf(plan.Request, plan.Region), plan)
+	for range maxPlacementAttempts {
+		outcome := r.runOnOwner(ctx, r.divisions.partOf(plan.Request, plan.Region), plan)
 		if outcome.Reason != batch.Moved {
 			return outcome
 		}
@@ -164,43 +162,43 @@
 			break
 		}
 	}
-	r.freeMade(plan.Made)
+	r.freeStages(plan.Made)
 	return pipeline.Outcome{Reason: batch.Late}
 }
 
-// runIn has the stages of a plan made by the owner of a part. The plan has moved if it falls to
-// another part meanwhile.
-func (r *Router) runIn(ctx context.Context, part pipeline.Part, plan pipeline.Plan) pipeline.Outcome {
-	turned := map[string]bool{}
-	silent := 0
-	for range maxTurns {
-		address := r.next(part, turned)
+// runOnOwner runs a plan on the owner of a part. It returns batch.Moved if the plan maps to another part
+// by now.
+func (r *Router) runOnOwner(ctx context.Context, part pipeline.Part, plan pipeline.Plan) pipeline.Outcome {
+	excluded := map[string]bool{}
+	unresponsive := 0
+	for range maxPlacementAttempts {
+		address := r.next(part, excluded)
 		if address == r.owners.self.PeerAddress {
 			break
 		}
 		outcome, err := r.handOver(ctx, address, part, plan, false)
 		if err != nil {
-			turned[address] = true
-			silent += choose(peers.Answered(err), 0, 1)
+			excluded[address] = true
+			unresponsive += choose(peers.Answered(err), 0, 1)
 			plan.Made = outcome.Made
 			continue
 		}
-		if outcome.Reason != batch.Moved || r.outdated(part, &plan) {
+		if outcome.Reason != batch.Moved || r.partChanged(part, &plan) {
 			return outcome
 		}
 		plan.Made = outcome.Made
 		if holder, known := r.claims.holder(part); !known || holder.Owner.PeerAddress == address {
-			turned[address] = true
+			excluded[address] = true
 		}
 	}
-	return r.planHere(ctx, part, plan, silent < silentWhenCutOff && r.ownerless(part))
+	return r.runLocally(ctx, part, plan, unresponsive < partitionThreshold && r.shouldClaim(part))
 }
 
-// ownerless tells whether this instance should claim a part when it makes a plan of it: nobody
-// owns it who is reached, but others are.
-func (r *Router) ownerless(part pipeline.Part) bool {
+// shouldClaim reports whether this instance should claim a part: the part has no reachable owner, and
+// this instance is not isolated.
+func (r *Router) shouldClaim(part pipeline.Part) bool {
 	holder, known := r.claims.holder(part)
-	return (!known || !r.owners.reaches(holder.Owner)) && !r.owners.alone()
+	return (!known || !r.owners.reachable(holder.Owner)) && !r.owners.isolated()
 }
 
 // choose returns one of two values.
@@ -211,25 +209,25 @@
 	return no
 }
 
-// next returns the peer address of the instance that a plan is handed to: the owner if it is
-// reached, else the first that would own the part.
-func (r *Router) next(part pipeline.Part, turned map[string]bool) string {
-	if holder, known := r.claims.holder(part); known && r.owners.reaches(holder.Owner) && !turned[holder.Owner.PeerAddress] {
-		r.owners.try(holder.Owner.PeerAddress)
+// next returns the peer address to try next: the owner if it is reachable, otherwise the first
+// remaining candidate.
+func (r *Router) next(part pipeline.Part, excluded map[string]bool) string {
+	if holder, known := r.claims.holder(part); known && r.owners.reachable(holder.Owner) && !excluded[holder.Owner.PeerAddress] {
+		r.owners.startProbe(holder.Owner.PeerAddress)
 		return holder.Owner.PeerAddress
 	}
 	for _, address := range r.owners.candidates(part) {
-		if !turned[address] {
+		if !excluded[address] {
 			return address
 		}
 	}
 	return r.owners.self.PeerAddress
 }
 
-// planHere has this instance's planner make the stages. It claims the part if it should; an
-// instance that is cut off should not, since the owner goes on for the others.
-func (r *Router) planHere(ctx context.Context, part pipeline.Part, plan pipeline.Plan, claim bool) pipeline.Outcome {
-	for range maxTurns {
+// runLocally runs a plan with the local planner, claiming the part if claim is set. A partitioned
+// instance must not claim the part, since the owner is still in use elsewhere.
+func (r *Router) runLocally(ctx context.Context, part pipeline.Part, plan pipeline.Plan, claim bool) pipeline.Outcome {
+	for range maxPlacementAttempts {
 		if !r.claims.owns(part) {
 			if claim {
 				r.claim(part, "owner_not_reached")
@@ -237,56 +235,56 @@
 			r.planner.Resume(part)
 		}
 		outcome := r.planner.Run(ctx, part, plan)
-		if outcome.Reason != batch.Moved || ctx.Err() != nil || r.outdated(part, &plan) {
+		if outcome.Reason != batch.Moved || ctx.Err() != nil || r.partChanged(part, &plan) {
 			return outcome
 		}
 		plan.Made = outcome.Made
-		if holder, known := r.claims.holder(part); known && !r.claims.owns(part) && r.owners.reaches(holder.Owner) {
+		if holder, known := r.claims.holder(part); known && !r.claims.owns(part) && r.owners.reachable(holder.Owner) {
 			if moved, err := r.handOver(ctx, holder.Owner.PeerAddress, part, plan, false); err == nil && moved.Reason != batch.Moved {
 				return moved
 			}
 		}
 	}
-	r.freeMade(plan.Made)
+	r.freeStages(plan.Made)
 	return pipeline.Outcome{Reason: batch.Late}
 }
 
-// serve has the stages of another instance's plan made: here if this instance owns the part, or
-// is to own it since the owner is not reached. Where another owns it, or the caller goes by an
-// older division, the answer says so.
+// serve runs a plan of another instance. It runs locally if this instance owns the part, or claims
+// it because the owner is unreachable. If the part has another owner, or the caller uses an older
+// division, the answer redirects the caller.
 func (r *Router) serve(ctx context.Context, call api.Run) (api.Ran, error) {
 	part, plan := call.Part, call.Plan
-	r.divisions.hear(call.Division, "told_with_plan")
+	r.divisions.merge(call.Division, "told_with_plan")
 	if division := r.divisions.agreed(); call.Division.Parts > 0 && part.Of != division.Parts && division.Beats(call.Division) {
 		return api.Ran{Outcome: pipeline.Outcome{Reason: batch.Moved, Made: plan.Made}, Division: division}, nil
 	}
-	r.claims.hear([]ownership.Claim{call.Known}, "told_with_plan")
+	r.claims.merge([]ownership.Claim{call.Known}, "told_with_plan")
 	holder, known := r.claims.holder(part)
-	if known && !r.claims.owns(part) && r.owners.reaches(holder.Owner) && !call.Relayed {
+	if known && !r.claims.owns(part) && r.owners.reachable(holder.Owner) && !call.Relayed {
 		if holder != call.Known {
 			return api.Ran{Outcome: pipeline.Outcome{Reason: batch.Moved, Made: plan.Made}, Owner: holder}, nil
 		}
 		outcome, err := r.handOver(ctx, holder.Owner.PeerAddress, part, plan, true)
 		if err == nil {
-			return r.answer(call, outcome), nil
+			return r.response(call, outcome), nil
 		}
 		plan.Made = outcome.Made
 	}
 	if !r.claims.owns(part) {
-		if r.leavesOthers() {
-			return api.Ran{}, refuseLeaving("hand the plan to the next owner")
+		if r.leavingAmongStaying() {
+			return api.Ran{}, errLeaving("retry with the next candidate owner")
 		}
 		r.claim(part, "asked_by_peer")
 		r.planner.Resume(part)
 	}
-	return r.answer(call, r.planner.Run(ctx, part, plan)), nil
+	return r.response(call, r.planner.Run(ctx, part, plan)), nil
 }
 
-// answer is an outcome with who owns the part now, and the division that holds if the caller does
-// not go by it.
-func (r *Router) answer(call api.Run, outcome pipeline.Outcome) api.Ran {
+// response adds the current owner of the part to an outcome, and the current division if the caller's
+// is older.
+func (r *Router) response(call api.Run, outcome pipeline.Outcome) api.Ran {
 	holder, _ := r.claims.holder(call.Part)
-	outcome.Made = withTimesLeft(outcome.Made, r.clock.Now())
+	outcome.Made = withRemainingTimes(outcome.Made, r.clock.Now())
 	ran := api.Ran{Outcome: outcome, Owner: holder}
 	if division := r.divisions.agreed(); division.Beats(call.Division) {
 		ran.Division = division
@@ -294,15 +292,15 @@
 	return ran
 }
 
-// handOver has the stages made by the instance at an address, or tells why it did not answer; the
-// outcome then has what it told to be made.
+// handOver runs a plan on the instance at an address. On failure it returns the error along with
+// the results reported so far.
 func (r *Router) handOver(ctx context.Context, address string, part pipeline.Part, plan pipeline.Plan, relayed bool) (pipeline.Outcome, error) {
 	now := r.clock.Now()
 	call := api.Run{Call: uuid.NewString(), Part: part, Plan: plan, DueMs: plan.Due.Sub(now).Milliseconds(), DeadlineMs: plan.Deadline.Sub(now).Milliseconds(), Relayed: relayed}
-	call.Plan.Made = withTimesLeft(plan.Made, now)
+	call.Plan.Made = withRemainingTimes(plan.Made, now)
 	call.Known, _ = r.claims.holder(part)
 	call.From = r.owners.self.PeerAddress
-	call.Division = r.divisions.inForce()
+	call.Division = r.divisions.current()
 	r.progress.begin(call.Call, &plan)
 	var ran api.Ran
 	err := r.client.Call(ctx, address, api.MethodRun, call, &ran)
@@ -318,11 +316,11 @@
 		r.log.WithFields(logrus.Fields{"event": "owner_silent", "id": plan.Request, "owner": address, "answered": peers.Answered(err)}).Warn(err)
 		return pipeline.Outcome{Made: made}, err
 	}
-	r.owners.trust(address)
-	r.divisions.hear(ran.Division, "told_with_answer")
-	r.claims.hear([]ownership.Claim{ran.Owner}, "told_with_answer")
+	r.owners.clearSuspicion(address)
+	r.divisions.merge(ran.Division, "told_with_answer")
+	r.claims.merge([]ownership.Claim{ran.Owner}, "told_with_answer")
 	ran.Planner = address
-	ran.Made = withTimes(ran.Made, r.clock.Now())
+	ran.Made = withExpiryTimes(ran.Made, r.clock.Now())
 	return ran.Outcome, nil
 }
 
@@ -334,35 +332,35 @@
 	}
 }
 
-// Free implements gateway.Stages: the owner of the part, which counts its makers' room, gives
-// results up.
+// Free implements gateway.Stages. Results are released through the owner of their part, which
+// accounts for the endpoints' capacity.
 func (r *Router) Free(results []batch.Result) {
 	byPart := map[pipeline.Part][]batch.Result{}
-	for _, result := range r.rehomed(results) {
+	for _, result := range r.withCurrentQueues(results) {
 		part := pipeline.Part{Number: result.Queue.Part, Of: result.Queue.Parts}
 		byPart[part] = append(byPart[part], result)
 	}
 	for part, own := range byPart {
 		holder, known := r.claims.holder(part)
-		if !known || r.claims.owns(part) || !r.owners.reaches(holder.Owner) {
-			r.makers.Free(own)
+		if !known || r.claims.owns(part) || !r.owners.reachable(holder.Owner) {
+			r.results.Free(own)
 			continue
 		}
-		go r.freeAt(holder.Owner.PeerAddress, own)
+		go r.freeThrough(holder.Owner.PeerAddress, own)
 	}
 }
 
-// rehomed returns results with the queues of the division in force.
-func (r *Router) rehomed(results []batch.Result) []batch.Result {
-	parts := r.divisions.inForce().Parts
+// withCurrentQueues returns results with their queues mapped to the current division.
+func (r *Router) withCurrentQueues(results []batch.Result) []batch.Result {
+	parts := r.divisions.current().Parts
 	made := func(result batch.Result) bool { return result.Handle != "" && result.Queue.Parts != parts }
 	if !slices.ContainsFunc(results, made) {
 		return results
 	}
-	return r.makers.Rehome(results, parts)
+	return r.results.Rehome(results, parts)
 }
 
-func (r *Router) freeMade(stages [][]batch.Result) {
+func (r *Router) freeStages(stages [][]batch.Result) {
 	for _, results := range stages {
 		r.Free(results)
 	}
@@ -383,11 +381,11 @@
 	}()
 }
 
-// freeAt has the owner free results, or does so itself if the owner is not reached.
-func (r *Router) freeAt(address string, results []batch.Result) {
+// freeThrough releases results through the owner at an address, or directly if the owner is unreachable.
+func (r *Router) freeThrough(address string, results []batch.Result) {
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	if err := r.client.Notify(ctx, address, api.MethodFree, api.Free{Results: results}); err != nil {
-		r.makers.Free(results)
+		r.results.Free(results)
 	}
 }
--- a/service/handover/spilling.go
+++ b/service/handover/spilling.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// busyFor is how long a region is asked for no plans of others after it refused one: in an overload of all, each
-// plan that is refused would be refused in every region.
-const busyFor = 300 * time.Millisecond
+// busyPeriod is how long a region that refused a plan gets no plans of other regions. During a global
+// overload every refused plan would otherwise be retried in every region.
+const busyPeriod = 300 * time.Millisecond
 
-// busyRegions are those that refused a plan lately. Safe for concurrent use.
+// busyRegions tracks the regions that refused a plan recently. Safe for concurrent use.
 type busyRegions struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
-// noteBusy takes in that a region refused a plan.
-func (r *Router) noteBusy(region string) {
+// markBusy records that a region refused a plan.
+func (r *Router) markBusy(region string) {
 	r.busy.mu.Lock()
 	defer r.busy.mu.Unlock()
-	r.busy.until[region] = r.clock.Now().Add(busyFor)
+	r.busy.until[region] = r.clock.Now().Add(busyPeriod)
 }
 
-// spills tells whether a plan that its own region refused may be made in another.
-func (r *Router) spills(region string) bool {
+// mayOverflowTo reports whether a plan refused by its own region may run in the given region.
+func (r *Router) mayOverflowTo(region string) bool {
 	r.busy.mu.Lock()
 	defer r.busy.mu.Unlock()
 	return !r.clock.Now().Before(r.busy.until[region])
--- a/service/handover/succession.go
+++ b/service/handover/succession.go
@@ -17,44 +17,43 @@
 )
 
 const (
-	// takeTimeout bounds how long a successor may take to answer.
-	takeTimeout = 300 * time.Millisecond
-	// restartedAfter is by how much later than the others an instance has started that was
-	// restarted since: in a rolling restart its turn is over.
-	restartedAfter = 3 * time.Second
-	// laterBy is by how much later an instance must have begun to leave to own a part for
-	// another that leaves: heartbeats tell of it up to a second late.
-	laterBy = 500 * time.Millisecond
+	// transferTimeout bounds a call that transfers a part, and a ping.
+	transferTimeout = 300 * time.Millisecond
+	// minRestartGap is how much later than this instance a member must have started to count as
+	// already restarted in a rolling restart.
+	minRestartGap = 3 * time.Second
+	// minLeaveGap is how much later than this instance a leaving member must have begun to leave to
+	// become a successor. Heartbeats report the state with a delay of up to a second.
+	minLeaveGap = 500 * time.Millisecond
 )
 
-// Leave has the parts of this instance handed over to others that stay. It is called again and
-// again while the instance stops: as long as no other is reached, it goes on owning.
+// Leave transfers the parts of this instance to members that stay. It is called repeatedly during
+// shutdown; this instance keeps its parts until a successor is reachable.
 func (r *Router) Leave() {
 	r.owners.leave()
 	own := r.claims.own()
-	if len(own) == 0 || r.giving.Swap(true) {
+	if len(own) == 0 || r.transferring.Swap(true) {
 		return
 	}
 	go func() {
-		defer r.giving.Store(false)
+		defer r.transferring.Store(false)
 		for _, claim := range own {
-			r.giveToFirst(claim.Part, r.owners.successors(claim.Part), "leaving")
+			r.transferToFirst(claim.Part, r.owners.successors(claim.Part), "leaving")
 		}
 	}()
 }
 
-// giveToFirst hands a part over to the first of some instances that takes it. The cause is for the
-// log.
-func (r *Router) giveToFirst(part pipeline.Part, successors []ownership.Owner, cause string) {
+// transferToFirst transfers a part to the first successor that accepts it. The cause is logged.
+func (r *Router) transferToFirst(part pipeline.Part, successors []ownership.Owner, cause string) {
 	for _, successor := range successors {
-		// First the claim: who asks for a plan while the part is given up is sent on.
+		// Assign the claim first, so that plans arriving during the release are redirected.
 		claim := r.claims.assign(part, successor, cause)
 		ledger := r.planner.Release(part)
-		if r.give(claim, ledger) {
+		if r.transfer(claim, ledger) {
 			return
 		}
 		if holder, _ := r.claims.holder(part); holder != claim {
-			// Another has claimed the part meanwhile.
+			// Another instance claimed the part in the meantime.
 			return
 		}
 		r.claim(part, "successor_not_reached")
@@ -62,23 +61,23 @@
 	}
 }
 
-// superseded gives up a part that another instance has claimed in a later term, and hands over
-// what is known of it.
-func (r *Router) superseded(claim ownership.Claim) {
+// yield releases a part after another instance claimed it in a later term, and sends its
+// ledger to the new owner.
+func (r *Router) yield(claim ownership.Claim) {
 	go func() {
 		ledger := r.planner.Release(claim.Part)
 		if r.claims.owns(claim.Part) {
-			// It came back meanwhile.
+			// This instance became the owner again in the meantime.
 			r.planner.Take(claim.Part, ledger)
 			return
 		}
-		r.give(claim, ledger)
+		r.transfer(claim, ledger)
 	}()
 }
 
-// give tells the owner of a part what is known of it, and whether it took that.
-func (r *Router) give(claim ownership.Claim, ledger pipeline.Ledger) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), takeTimeout)
+// transfer sends the ledger of a part to its owner and reports whether the owner accepted it.
+func (r *Router) transfer(claim ownership.Claim, ledger pipeline.Ledger) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
 	err := r.client.Call(ctx, claim.Owner.PeerAddress, api.MethodTake, api.Take{Claim: claim, Ledger: ledger}, &struct{}{})
 	fields := logrus.Fields{"event": "part_given", "part": claim.Part.Number, "term": claim.Term, "to": claim.Owner.Name, "endpoints": len(ledger.Pieces.Endpoints)}
@@ -93,36 +92,38 @@
 	return true
 }
 
-// take begins to own a part with what its owner before knew of it.
-func (r *Router) take(call api.Take) error {
-	if !r.claims.owns(call.Claim.Part) && r.leavesOthers() {
-		return refuseLeaving("hand the part to another")
+// accept accepts a part and the ledger of its previous owner.
+func (r *Router) accept(call api.Take) error {
+	if !r.claims.owns(call.Claim.Part) && r.leavingAmongStaying() {
+		return errLeaving("transfer the part to another instance")
 	}
-	r.claims.hear([]ownership.Claim{call.Claim}, "handed_over")
+	r.claims.merge([]ownership.Claim{call.Claim}, "handed_over")
 	if call.Claim.Owner != r.owners.self.Owner() || !r.claims.owns(call.Claim.Part) {
-		return problem.New(problem.Conflict, "tell it to the owner that the heartbeats name", "part %d of %d is not this instance's in term %d", call.Claim.Part.Number, call.Claim.Part.Of, call.Claim.Term)
+		return problem.New(problem.Conflict, "send the ledger to the owner named in heartbeats", "part %d of %d is not owned by this instance in term %d", call.Claim.Part.Number, call.Claim.Part.Of, call.Claim.Term)
 	}
 	r.planner.Take(call.Claim.Part, call.Ledger)
 	return nil
 }
 
-// leavesOthers tells whether this instance leaves while another stays, which is to own its parts.
-func (r *Router) leavesOthers() bool {
-	return r.owners.leftAt.Load() != nil && !r.owners.noneStays()
+// leavingAmongStaying reports whether this instance is leaving while another member, which can own its
+// parts, stays.
+func (r *Router) leavingAmongStaying() bool {
+	return r.owners.leftAt.Load() != nil && !r.owners.noStayingMember()
 }
 
-func refuseLeaving(remedy string) error {
+func errLeaving(remedy string) error {
 	return problem.New(problem.Unavailable, remedy, "this instance is leaving")
 }
 
-// successors returns the members that may own a part after this instance, which leaves: of those
-// that are able, the ones that were restarted lately first, since in a rolling restart they stay;
-// else as others would choose the next owner.
+// successors returns the members that may take over a part from this instance, in order of
+// preference. Among capable machines, recently restarted members come first, since they stay for
+// the rest of a rolling restart. If all members are leaving, those that leave later than this
+// instance are returned.
 func (o *owners) successors(part pipeline.Part) []ownership.Owner {
 	list := slices.DeleteFunc(o.ranked(part), func(candidate owner) bool { return candidate.Name == o.self.Name })
-	restarted := func(candidate owner) bool { return candidate.Incarnation > o.self.Incarnation+uint64(restartedAfter) }
+	restarted := func(candidate owner) bool { return candidate.Incarnation > o.self.Incarnation+uint64(minRestartGap) }
 	slices.SortStableFunc(list, func(a, b owner) int {
-		return cmp.Or(compareBool(b.able, a.able), compareBool(restarted(b), restarted(a)))
+		return cmp.Or(compareBool(b.capable, a.capable), compareBool(restarted(b), restarted(a)))
 	})
 	var successors []ownership.Owner
 	for _, candidate := range list {
@@ -136,34 +137,35 @@
 	return successors
 }
 
-// leave notes that this instance leaves.
+// leave records that this instance is leaving.
 func (o *owners) leave() {
 	now := o.clock.Now()
 	o.leftAt.CompareAndSwap(nil, &now)
 }
 
-// leavingLater returns the members that have more time left than this instance, which leaves
-// too, the one with the most first; none if this one stays.
+// leavingLater returns the leaving members that began to leave after this instance, the latest
+// first. It returns none if this instance is not leaving.
 func (o *owners) leavingLater() []membership.Member {
 	leftAt := o.leftAt.Load()
 	if leftAt == nil {
 		return nil
 	}
-	list := slices.DeleteFunc(slices.Clone(o.others()), func(m membership.Member) bool {
-		return o.suspected(m.PeerAddress) || m.Since.Sub(*leftAt) < laterBy
+	list := slices.DeleteFunc(slices.Clone(o.leavingMembers()), func(m membership.Member) bool {
+		return o.suspected(m.PeerAddress) || m.Since.Sub(*leftAt) < minLeaveGap
 	})
 	slices.SortFunc(list, func(a, b membership.Member) int { return b.Since.Compare(a.Since) })
 	return list
 }
 
-// noneStays tells whether no other instance is reached that does not leave.
-func (o *owners) noneStays() bool {
+// noStayingMember reports whether no reachable member stays.
+func (o *owners) noStayingMember() bool {
 	return !slices.ContainsFunc(o.live(), func(m membership.Member) bool { return !o.suspected(m.PeerAddress) })
 }
 
-// reaches tells whether an owner is taken to be reached: it is this life of this instance, or it
-// did not fail to answer lately and has not been succeeded by another life.
-func (o *owners) reaches(owner ownership.Owner) bool {
+// reachable reports whether an owner is considered reachable. A remote owner is reachable if it is
+// not suspected and no later incarnation of it is known; an owner with this instance's name only if
+// the incarnation matches too.
+func (o *owners) reachable(owner ownership.Owner) bool {
 	if owner.Name == o.self.Name {
 		return owner == o.self.Owner()
 	}
@@ -174,7 +176,7 @@
 	return !known || m.Incarnation <= owner.Incarnation
 }
 
-// member returns the live member that has an owner's name.
+// member returns the live member with an owner's name.
 func (o *owners) member(owner ownership.Owner) (membership.Member, bool) {
 	for _, m := range o.live() {
 		if m.Name == owner.Name {
@@ -184,13 +186,13 @@
 	return membership.Member{}, false
 }
 
-// alone tells whether no other instance is reached.
-func (o *owners) alone() bool {
-	return o.noneStays() && !slices.ContainsFunc(o.others(), func(m membership.Member) bool { return !o.suspected(m.PeerAddress) })
+// isolated reports whether no other member is reachable.
+func (o *owners) isolated() bool {
+	return o.noStayingMember() && !slices.ContainsFunc(o.leavingMembers(), func(m membership.Member) bool { return !o.suspected(m.PeerAddress) })
 }
 
-// others returns the members that leave.
-func (o *owners) others() []membership.Member {
+// leavingMembers returns the members that are leaving.
+func (o *owners) leavingMembers() []membership.Member {
 	if o.leaving == nil {
 		return nil
 	}
--- a/service/handover/succession_test.go
+++ b/service/handover/succession_test.go
@@ -28,26 +28,26 @@
 		clock = clockwork.NewFakeClock()
 		all = newInstances(4, clock)
 		DeferCleanup(func() { all.kill() })
-		clock.Advance(joining)
+		clock.Advance(joinPeriod)
 	})
 
-	// beat has all tell each other who owns what, as heartbeats do.
-	beat := func() { all.beat(all) }
+	// exchangeClaims exchanges claims between all instances, as heartbeats do.
+	exchangeClaims := func() { all.exchangeClaims(all) }
 
-	It("stays the owner when one that would rank first comes back", func() {
+	It("remains the owner when a higher-ranked instance comes back", func() {
 		first := all.ownerOf(all[0], "r1")
 		first.kill()
 		second := all.ownerOf(all.others(first)[0], "r2")
 		Expect(second).NotTo(Equal(first))
 		back := all.restart(first)
-		beat()
+		exchangeClaims()
 		for _, i := range all.others(second) {
 			Expect(all.ownerOf(i, "r3")).To(Equal(second))
 		}
 		Expect(back.pieces.Made()).To(BeZero())
 	})
 
-	It("is followed by one that goes on with the stages that it told to be made, when it is killed", func() {
+	It("is replaced when killed by an instance that continues from the reported stages", func() {
 		first := all.ownerOf(all[0], "r1")
 		asking := all.others(first)[0]
 		done := make(chan pipeline.Outcome, 1)
@@ -68,20 +68,20 @@
 		Expect(second.pieces.Waiting()).To(Equal(3))
 		second.pieces.finish()
 		Expect(outcomeOf(done).Results).To(HaveLen(3))
-		Expect(second.pieces.Made()).To(Equal(3), "the first stage is not made again")
+		Expect(second.pieces.Made()).To(Equal(3), "the first stage does not run again")
 	})
 
-	It("tells of no stage that the plan does not have", func() {
+	It("rejects progress reports for stages that the plan does not have", func() {
 		asking := all[0].router
 		asking.progress.begin("call", &pipeline.Plan{Stages: make([]pipeline.Stage, 2)})
-		Expect(asking.progress.stageMade("call", 2, nil)).To(MatchError(ContainSubstring("no stage 2")))
-		Expect(asking.progress.stageMade("call", -1, nil)).To(HaveOccurred())
-		Expect(asking.progress.stageMade("another", 7, nil)).To(Succeed())
+		Expect(asking.progress.stageCompleted("call", 2, nil)).To(MatchError(ContainSubstring("no stage 2")))
+		Expect(asking.progress.stageCompleted("call", -1, nil)).To(HaveOccurred())
+		Expect(asking.progress.stageCompleted("another", 7, nil)).To(Succeed())
 		Expect(asking.progress.end("call")).To(Equal(make([][]batch.Result, 2)))
 		Expect(asking.progress.end("call")).To(BeNil())
 	})
 
-	It("hands a part over when it leaves: one planner at a time, and what waits goes on with what was made", func() {
+	It("transfers a part when it leaves, and pending plans continue with their results at one planner", func() {
 		first := all.ownerOf(all[0], "r1")
 		asking := all.others(first)[0]
 		waiting := all.run(asking, "r2")
@@ -97,9 +97,9 @@
 				}
 			}
 			return 0
-		}).Should(Equal(2), "one piece of each is missing")
+		}).Should(Equal(2), "one piece of each plan is left")
 		Expect(first.pieces.Waiting()).To(BeZero())
-		// Plans that move may come before the ledger.
+		// Moved plans may arrive before the ledger.
 		Eventually(second.pieces.Taken).Should(ContainElement(HaveField("Endpoints", HaveLen(1))))
 		Expect(second.pieces.adopted).To(ContainElement(HaveField("Handle", "made before")))
 		second.pieces.finish()
@@ -113,12 +113,12 @@
 		}
 	})
 
-	It("is one at a time in a rolling restart", func() {
+	It("is a single instance at any time in a rolling restart", func() {
 		owner := all.ownerOf(all[0], "r1")
 		for range 3 {
 			owner.router.Leave()
 			for _, i := range all.others(owner) {
-				i.sees(owner, membership.Leaving, clock.Now())
+				i.setState(owner, membership.Leaving, clock.Now())
 			}
 			Eventually(func() bool { return owner.router.claims.owns(whole) }).Should(BeFalse())
 			var requests []chan pipeline.Outcome
@@ -143,17 +143,17 @@
 		}
 	})
 
-	It("goes on while all leave, and gives way to the one that left last", func() {
+	It("keeps the part while all instances leave, until it can transfer it to the last one to leave", func() {
 		owner := all.ownerOf(all[0], "r1")
 		last := all.others(owner)[2]
 		owner.router.Leave()
 		for n, i := range all.others(owner) {
 			for _, other := range all.others(i) {
-				other.sees(i, membership.Leaving, clock.Now().Add(time.Duration(n+1)*time.Second))
+				other.setState(i, membership.Leaving, clock.Now().Add(time.Duration(n+1)*time.Second))
 			}
 		}
 		for _, i := range all.others(owner) {
-			i.sees(owner, membership.Leaving, clock.Now())
+			i.setState(owner, membership.Leaving, clock.Now())
 		}
 		clock.Advance(3 * time.Second)
 		last.router.Leave()
@@ -166,12 +166,12 @@
 		}
 	})
 
-	It("yields to a later term, and tells what it knows", func() {
+	It("yields to a later term and sends its ledger", func() {
 		first := all.ownerOf(all[0], "r1")
 		second := all.others(first)[0]
 		waiting := all.run(first, "r2")
 		Eventually(first.pieces.Waiting).Should(Equal(2))
-		// The second one was cut off, and claimed the part two times meanwhile.
+		// The second instance was partitioned and claimed the part in a later term.
 		claim := ownership.Claim{Part: whole, Term: 9, Owner: second.self.Owner()}
 		second.router.HearClaims([]ownership.Claim{claim})
 		first.router.HearClaims(second.router.Claims())
@@ -182,7 +182,7 @@
 		Expect(all.ownerOf(first, "r3")).To(Equal(second))
 	})
 
-	It("plans at once when it hears that it owns a part again, though the ledger is still under way", func() {
+	It("resumes planning as soon as it owns a part again, before the ledger arrives", func() {
 		first := all.ownerOf(all[0], "r1")
 		first.router.Leave()
 		Eventually(func() bool { return first.router.claims.owns(whole) }).Should(BeFalse())
@@ -198,12 +198,12 @@
 		}
 	})
 
-	It("is not taken over from one that answers, though it sends plans away", func() {
+	It("is not replaced while it responds, even if it rejects plans", func() {
 		first := all.ownerOf(all[0], "r1")
 		asking := all.others(first)[0]
-		beat()
+		exchangeClaims()
 		first.pieces.Release(0, 1)
-		first.pieces.stuck = true
+		first.pieces.keepReleased = true
 		done := all.run(asking, "r2")
 		Eventually(asking.pieces.Waiting).Should(Equal(2))
 		asking.pieces.finish()
@@ -213,12 +213,12 @@
 		}
 	})
 
-	It("does not become one that leaves itself, while another stays", func() {
+	It("is never an instance that is leaving itself, while another stays", func() {
 		first := all.ownerOf(all[0], "r1")
 		leaving := all.others(first)[0]
 		leaving.router.owners.leave()
 		call := api.Take{Claim: ownership.Claim{Part: whole, Term: 9, Owner: leaving.self.Owner()}}
-		Expect(leaving.router.take(call)).To(MatchError(ContainSubstring("leaving")))
+		Expect(leaving.router.accept(call)).To(MatchError(ContainSubstring("leaving")))
 		Expect(leaving.router.claims.owns(whole)).To(BeFalse())
 		for range 3 {
 			first.router.Leave()
@@ -227,7 +227,7 @@
 		Consistently(func() bool { return leaving.router.claims.owns(whole) }).WithTimeout(50 * time.Millisecond).Should(BeFalse())
 	})
 
-	It("is not claimed by an instance that reaches no other", func() {
+	It("is not replaced by an isolated instance", func() {
 		lone := all[0]
 		for _, other := range all.others(lone) {
 			other.kill()
@@ -237,7 +237,7 @@
 		Expect(lone.router.claims.owns(whole)).To(BeFalse())
 	})
 
-	It("hands its part to one that is able, but not to one that is not reached", func() {
+	It("transfers its part to a capable instance, but not to an unreachable one", func() {
 		first := all.ownerOf(all[0], "r1")
 		claim, _ := first.router.claims.holder(whole)
 		gone, able := all.others(first)[0], all.others(first)[1]
@@ -254,20 +254,20 @@
 			first.router.Look()
 			return able.router.claims.owns(whole)
 		}).Should(BeTrue())
-		Eventually(able.pieces.Waiting).Should(Equal(1), "it goes on with what was made")
+		Eventually(able.pieces.Waiting).Should(Equal(1), "it continues with the existing results")
 		able.pieces.finish()
 		Expect(outcomeOf(waiting).Results).To(HaveLen(2))
 		able.router.Look()
 		Expect(able.router.claims.owns(whole)).To(BeTrue())
 	})
 
-	It("makes plans of instances of the version before, which tell of no owner", func() {
+	It("runs plans of the previous version, which sends no known owner", func() {
 		owner := all[0]
 		old := json.RawMessage(`{"call":"c","part":{"number":0,"of":1},"plan":{"request":"r","stages":[{"service":"s","bytes":1,"pieces":1}],"priority":0},"due_ms":60000,"deadline_ms":60000}`)
 		done := make(chan any, 1)
 		go func() {
 			defer GinkgoRecover()
-			answer, err := answerer{NewHandler(owner.router, nil, nil, nil)}.Answer(context.Background(), api.MethodRun, old)
+			answer, err := unconfiguredHandler{NewHandler(owner.router, nil, nil, nil)}.Answer(context.Background(), api.MethodRun, old)
 			Expect(err).NotTo(HaveOccurred())
 			done <- answer
 		}()
@@ -279,14 +279,14 @@
 		Expect(owner.router.claims.owns(whole)).To(BeTrue())
 	})
 
-	It("refuses a part whose ledger is for another, and changes nothing", func() {
+	It("refuses a ledger addressed to another owner and keeps its claims", func() {
 		owner := all.ownerOf(all[0], "r1")
 		before := owner.router.Claims()
 		for _, claim := range []ownership.Claim{
 			{Part: ownership.Part{Number: 3, Of: 1}, Term: 9, Owner: owner.self.Owner()},
 			{Part: whole, Term: 0, Owner: all.others(owner)[0].self.Owner()},
 		} {
-			Expect(owner.router.take(api.Take{Claim: claim})).To(MatchError(ContainSubstring("is not this instance's")))
+			Expect(owner.router.accept(api.Take{Claim: claim})).To(MatchError(ContainSubstring("is not owned by this instance")))
 		}
 		Expect(owner.router.Claims()).To(Equal(before))
 	})
--- a/service/handover/times.go
+++ b/service/handover/times.go
@@ -6,18 +6,19 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/batch"
 )
 
-// withTimesLeft returns results of stages as they go to another instance, whose clock differs.
-func withTimesLeft(stages [][]batch.Result, now time.Time) [][]batch.Result {
-	return eachResult(stages, func(r *batch.Result) { r.LeftMs = r.Until.Sub(now).Milliseconds() })
+// withRemainingTimes prepares results for another instance: since clocks differ, expiry times are sent
+// as remaining durations.
+func withRemainingTimes(stages [][]batch.Result, now time.Time) [][]batch.Result {
+	return mapResults(stages, func(r *batch.Result) { r.LeftMs = r.Until.Sub(now).Milliseconds() })
 }
 
-// withTimes returns results of stages as they came from another instance.
-func withTimes(stages [][]batch.Result, now time.Time) [][]batch.Result {
-	return eachResult(stages, func(r *batch.Result) { r.Until = now.Add(time.Duration(r.LeftMs) * time.Millisecond) })
+// withExpiryTimes restores the expiry times of results received from another instance.
+func withExpiryTimes(stages [][]batch.Result, now time.Time) [][]batch.Result {
+	return mapResults(stages, func(r *batch.Result) { r.Until = now.Add(time.Duration(r.LeftMs) * time.Millisecond) })
 }
 
-// eachResult returns copies of results, changed where there is one.
-func eachResult(stages [][]batch.Result, change func(*batch.Result)) [][]batch.Result {
+// mapResults returns a deep copy of results, with change applied to each result that has a handle.
+func mapResults(stages [][]batch.Result, change func(*batch.Result)) [][]batch.Result {
 	if stages == nil {
 		return nil
 	}
