--- a/service/handover/knowledge.go
+++ b/service/handover/knowledge.go
@@ -24,8 +24,8 @@
 	maxDirectWatchers = 4
 )
 
-// Knowledge implements discovery.Peers: it fetches configuration and endpoint state from peers.
-type Knowledge struct {
+// DiscoveryPeers implements discovery.Peers: it fetches configuration and endpoint state from peers.
+type DiscoveryPeers struct {
 	Client *peers.Client
 	Self   membership.Self
 	Live   func() []membership.Member
@@ -35,10 +35,10 @@
 	Tell func()
 }
 
-var _ discovery.Peers = (*Knowledge)(nil)
+var _ discovery.Peers = (*DiscoveryPeers)(nil)
 
 // State implements discovery.Peers. It asks a random peer.
-func (k *Knowledge) State(ctx context.Context, newerThan uint64) (discovery.Known, error) {
+func (k *DiscoveryPeers) State(ctx context.Context, newerThan uint64) (discovery.Known, error) {
 	addresses := k.Contacts
 	if live := k.Live(); len(live) > 0 {
 		addresses = nil
@@ -66,7 +66,7 @@
 //
 // All other instances also try the first relay of another failure domain before the source. If the
 // relays of a domain are slow, the source would otherwise be watched by the whole domain.
-func (k *Knowledge) Relays() []string {
+func (k *DiscoveryPeers) Relays() []string {
 	live := k.Live()
 	domain := k.ranked(live, k.Self.FailureDomain)
 	if len(domain) <= maxDirectWatchers {
@@ -89,7 +89,7 @@
 }
 
 // ranked returns the instances of a failure domain in relay order.
-func (k *Knowledge) ranked(live []membership.Member, domain string) []owner {
+func (k *DiscoveryPeers) ranked(live []membership.Member, domain string) []owner {
 	var list []owner
 	if domain == k.Self.FailureDomain {
 		list = append(list, owner{Self: k.Self, weight: relayWeight(k.Self)})
@@ -105,7 +105,7 @@
 
 // otherDomain returns another failure domain, chosen by rendezvous hashing on this instance's name;
 // empty if there is none.
-func (k *Knowledge) otherDomain(live []membership.Member) string {
+func (k *DiscoveryPeers) otherDomain(live []membership.Member) string {
 	best, most := "", uint64(0)
 	for _, m := range live {
 		if m.FailureDomain == k.Self.FailureDomain || m.FailureDomain == best {
@@ -121,7 +121,7 @@
 func relayWeight(s membership.Self) uint64 { return xxhash.Sum64String("relay/" + s.Name) }
 
 // Relay implements discovery.Peers.
-func (k *Knowledge) Relay(ctx context.Context, relay string, selection discovery.RelaySelect) (discovery.Relayed, error) {
+func (k *DiscoveryPeers) Relay(ctx context.Context, relay string, selection discovery.RelaySelect) (discovery.Relayed, error) {
 	var relayed api.Relayed
 	call := api.RelaySelect{Since: selection.Since, Document: selection.Document, Evacuations: selection.Evacuations, Rollouts: selection.Rollouts, WaitMs: selection.Wait.Milliseconds(), Packs: true}
 	err := k.Client.Call(ctx, relay, api.MethodFollow, call, &relayed)
@@ -136,7 +136,7 @@
 
 // Holders implements discovery.Peers. Peers of the same failure domain come first, newer documents
 // before older ones; ties are in random order to spread the load.
-func (k *Knowledge) Holders(newerThan uint64) []string {
+func (k *DiscoveryPeers) Holders(newerThan uint64) []string {
 	var holders []membership.Member
 	for _, m := range k.Live() {
 		if m.Revision > newerThan {
@@ -161,7 +161,7 @@
 }
 
 // Piece implements discovery.Peers.
-func (k *Knowledge) Piece(ctx context.Context, peer string, selection discovery.PieceSelect) (discovery.Piece, error) {
+func (k *DiscoveryPeers) Piece(ctx context.Context, peer string, selection discovery.PieceSelect) (discovery.Piece, error) {
 	selection.Asker = k.Self.Name
 	var piece discovery.Piece
 	err := k.Client.Call(ctx, peer, api.MethodPiece, selection, &piece)
@@ -169,4 +169,4 @@
 }
 
 // Announce implements discovery.Peers.
-func (k *Knowledge) Announce() { k.Tell() }
+func (k *DiscoveryPeers) Announce() { k.Tell() }
--- a/service/handover/owners_test.go
+++ b/service/handover/owners_test.go
@@ -251,13 +251,13 @@
 				live[i].Machine = membership.Machine{Cores: 0.8, LinkMbps: 200}
 			}
 		}
-		k := &Knowledge{Self: self(0), Live: func() []membership.Member { return live }}
+		k := &DiscoveryPeers{Self: self(0), Live: func() []membership.Member { return live }}
 		Expect(k.Relays()[:2]).To(ConsistOf("address-4", "address-6"))
 	})
 
 	relays := func(n, of int) []string {
 		o := newTestOwners(clockwork.NewFakeClock(), n, of)
-		k := &Knowledge{Self: self(n), Live: o.live}
+		k := &DiscoveryPeers{Self: self(n), Live: o.live}
 		return k.Relays()
 	}
 
@@ -275,7 +275,7 @@
 		}
 		last := map[string]int{}
 		for n := range 120 {
-			k := &Knowledge{Self: self(n), Live: func() []membership.Member { return live }}
+			k := &DiscoveryPeers{Self: self(n), Live: func() []membership.Member { return live }}
 			k.Self.FailureDomain = "zone-0"
 			if list := k.Relays(); len(list) == relaysPerDomain+1 {
 				last[list[relaysPerDomain]]++
