--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -220,7 +220,7 @@
 	g.client = peers.NewClient(s.Instance, s.PeerToken, g.usage)
 	g.gossip = peers.NewGossip(g.listeners.heartbeat, s.PeerToken, timeline.NewClock(g.clock), limits.NewShares(g.clock), g.metrics, g.logs.For("peers"), func(membership.Self, uint64) {})
 	g.group = group.New(g.groupSettings(self), g.gossip, g.clock, g.logs.For("peers"))
-	g.follower = discovery.New(g.store, &handover.DiscoveryPeers{Client: g.client, Self: self, Live: g.group.Live, Contacts: s.Peers, Tell: g.group.Tell}, g.clock, g.logs.For("discovery"))
+	g.follower = discovery.New(g.store, &handover.DiscoveryPeers{Client: g.client, Self: self, Live: g.group.Live, Contacts: s.Peers, SendHeartbeat: g.group.Tell}, g.clock, g.logs.For("discovery"))
 	g.unread = g.metrics.NewCounter("cobaltcroft_notices_unread_total")
 	g.limited = throttle.NewTable(g.clock, g.logs.For("throttle"))
 	granting := &handover.Permits{Client: g.client, Instance: self, Stopping: g.stopping.begun, Members: g.group.Live, Departing: g.group.Leaving}
--- a/service/handover/knowledge.go
+++ b/service/handover/knowledge.go
@@ -31,8 +31,8 @@
 	Live   func() []membership.Member
 	// Contacts are the addresses to use while no member is known.
 	Contacts []string
-	// Tell triggers a heartbeat.
-	Tell func()
+	// SendHeartbeat triggers a heartbeat.
+	SendHeartbeat func()
 }
 
 var _ discovery.Peers = (*DiscoveryPeers)(nil)
@@ -169,4 +169,4 @@
 }
 
 // Announce implements discovery.Peers.
-func (k *DiscoveryPeers) Announce() { k.Tell() }
+func (k *DiscoveryPeers) Announce() { k.SendHeartbeat() }
