--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -80,11 +80,11 @@
 	// Supply returns the endpoint counts. Regions maps failure domains to regions.
 	Supply  func() ownership.Supply
 	Regions ownership.Regions
-	// Tell triggers a heartbeat after this instance changed an owner or the division. If nil, the
+	// SendHeartbeat triggers a heartbeat after this instance changed an owner or the division. If nil, the
 	// change goes out with the next regular heartbeat.
-	Tell  func()
-	Clock clockwork.Clock
-	Log   *logrus.Entry
+	SendHeartbeat func()
+	Clock         clockwork.Clock
+	Log           *logrus.Entry
 }
 
 // NewRouter returns a router.
@@ -100,7 +100,7 @@
 		busy:     busyRegions{until: map[string]time.Time{}},
 	}
 	r.owners.leaving, r.owners.regions = o.Leaving, o.Regions
-	broadcast := o.Tell
+	broadcast := o.SendHeartbeat
 	if broadcast == nil {
 		broadcast = func() {}
 	}
