--- a/service/handover/permits.go
+++ b/service/handover/permits.go
@@ -9,9 +9,9 @@
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
 )
 
-// Permits implements throttle.Peers: it requests permits for endpoints that have a limit shared by
+// ThrottlePeers implements throttle.Peers: it requests permits for endpoints that have a limit shared by
 // all instances.
-type Permits struct {
+type ThrottlePeers struct {
 	Client   *peers.Client
 	Instance membership.Self
 	// Stopping reports whether this instance is leaving.
@@ -21,7 +21,7 @@
 	Departing func() []membership.Member
 }
 
-var _ throttle.Peers = (*Permits)(nil)
+var _ throttle.Peers = (*ThrottlePeers)(nil)
 
 func throttlePeer(s membership.Self) throttle.Peer {
 	return throttle.Peer{Name: s.Name, Address: s.PeerAddress, FailureDomain: s.FailureDomain, Incarnation: s.Incarnation}
@@ -36,19 +36,19 @@
 }
 
 // Self implements throttle.Peers.
-func (p *Permits) Self() throttle.Peer { return throttlePeer(p.Instance) }
+func (p *ThrottlePeers) Self() throttle.Peer { return throttlePeer(p.Instance) }
 
 // Leaves implements throttle.Peers.
-func (p *Permits) Leaves() bool { return p.Stopping() }
+func (p *ThrottlePeers) Leaves() bool { return p.Stopping() }
 
 // Live implements throttle.Peers.
-func (p *Permits) Live() []throttle.Peer { return throttlePeers(p.Members()) }
+func (p *ThrottlePeers) Live() []throttle.Peer { return throttlePeers(p.Members()) }
 
 // Leaving implements throttle.Peers.
-func (p *Permits) Leaving() []throttle.Peer { return throttlePeers(p.Departing()) }
+func (p *ThrottlePeers) Leaving() []throttle.Peer { return throttlePeers(p.Departing()) }
 
 // Ask implements throttle.Peers.
-func (p *Permits) Ask(ctx context.Context, to throttle.Peer, ask throttle.Ask) (throttle.Grant, error) {
+func (p *ThrottlePeers) Ask(ctx context.Context, to throttle.Peer, ask throttle.Ask) (throttle.Grant, error) {
 	var grant throttle.Grant
 	err := p.Client.Call(ctx, to.Address, api.MethodPermits, ask, &grant)
 	return grant, err
