--- a/service/handover/permits.go
+++ b/service/handover/permits.go
@@ -14,8 +14,8 @@
 type ThrottlePeers struct {
 	Client   *peers.Client
 	Instance membership.Self
-	// Stopping reports whether this instance is leaving.
-	Stopping func() bool
+	// IsLeaving reports whether this instance is leaving.
+	IsLeaving func() bool
 	// Members returns the other live members that are not leaving, Departing those that are.
 	Members   func() []membership.Member
 	Departing func() []membership.Member
@@ -39,7 +39,7 @@
 func (p *ThrottlePeers) Self() throttle.Peer { return throttlePeer(p.Instance) }
 
 // Leaves implements throttle.Peers.
-func (p *ThrottlePeers) Leaves() bool { return p.Stopping() }
+func (p *ThrottlePeers) Leaves() bool { return p.IsLeaving() }
 
 // Live implements throttle.Peers.
 func (p *ThrottlePeers) Live() []throttle.Peer { return throttlePeers(p.Members()) }
