--- a/service/handover/permits.go
+++ b/service/handover/permits.go
@@ -16,9 +16,9 @@
 	Instance membership.Self
 	// IsLeaving reports whether this instance is leaving.
 	IsLeaving func() bool
-	// Members returns the other live members that are not leaving, Departing those that are.
-	Members   func() []membership.Member
-	Departing func() []membership.Member
+	// LiveMembers returns the other live members that are not leaving, Departing those that are.
+	LiveMembers func() []membership.Member
+	Departing   func() []membership.Member
 }
 
 var _ throttle.Peers = (*ThrottlePeers)(nil)
@@ -42,7 +42,7 @@
 func (p *ThrottlePeers) Leaves() bool { return p.IsLeaving() }
 
 // Live implements throttle.Peers.
-func (p *ThrottlePeers) Live() []throttle.Peer { return throttlePeers(p.Members()) }
+func (p *ThrottlePeers) Live() []throttle.Peer { return throttlePeers(p.LiveMembers()) }
 
 // Leaving implements throttle.Peers.
 func (p *ThrottlePeers) Leaving() []throttle.Peer { return throttlePeers(p.Departing()) }
