--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -223,7 +223,7 @@
 	g.follower = discovery.New(g.store, &handover.DiscoveryPeers{Client: g.client, Self: self, Live: g.group.Live, Contacts: s.Peers, SendHeartbeat: g.group.Tell}, g.clock, g.logs.For("discovery"))
 	g.unread = g.metrics.NewCounter("cobaltcroft_notices_unread_total")
 	g.limited = throttle.NewTable(g.clock, g.logs.For("throttle"))
-	granting := &handover.ThrottlePeers{Client: g.client, Instance: self, IsLeaving: g.stopping.begun, LiveMembers: g.group.Live, Departing: g.group.Leaving}
+	granting := &handover.ThrottlePeers{Client: g.client, Instance: self, IsLeaving: g.stopping.begun, LiveMembers: g.group.Live, LeavingMembers: g.group.Leaving}
 	g.permits = throttle.NewKeeper(g.limited, granting, g.domainOf, g.clock, g.logs.For("throttle"))
 	g.rests = notice.NewRests(g.clock, g.permits, g.logs.For("notice"))
 	g.metrics.NewGauge("cobaltcroft_endpoints_limited", func() float64 { return float64(g.limited.Count()) })
--- a/service/handover/permits.go
+++ b/service/handover/permits.go
@@ -17,8 +17,8 @@
 	// IsLeaving reports whether this instance is leaving.
 	IsLeaving func() bool
 	// LiveMembers returns the other live members that are not leaving, Departing those that are.
-	LiveMembers func() []membership.Member
-	Departing   func() []membership.Member
+	LiveMembers    func() []membership.Member
+	LeavingMembers func() []membership.Member
 }
 
 var _ throttle.Peers = (*ThrottlePeers)(nil)
@@ -45,7 +45,7 @@
 func (p *ThrottlePeers) Live() []throttle.Peer { return throttlePeers(p.LiveMembers()) }
 
 // Leaving implements throttle.Peers.
-func (p *ThrottlePeers) Leaving() []throttle.Peer { return throttlePeers(p.Departing()) }
+func (p *ThrottlePeers) Leaving() []throttle.Peer { return throttlePeers(p.LeavingMembers()) }
 
 // Ask implements throttle.Peers.
 func (p *ThrottlePeers) Ask(ctx context.Context, to throttle.Peer, ask throttle.Ask) (throttle.Grant, error) {
