--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -248,7 +248,7 @@
 		Clock:         g.clock,
 		Log:           g.logs.For("handover"),
 	})
-	conducting := &handover.Conducting{Client: g.client, Instance: self, Live: g.group.Live}
+	conducting := &handover.RolloutPeers{Client: g.client, Instance: self, Live: g.group.Live}
 	g.rollouts = rollout.NewKeeper(rolling{g.follower}, conducting, g.store, s.Rollouts.Share, g.clock, g.logs.For("rollout"))
 	g.executor = pkggateway.New(pkggateway.Options{
 		View:      g.follower.View,
--- a/service/handover/conducting.go
+++ b/service/handover/conducting.go
@@ -11,27 +11,27 @@
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
 )
 
-// Conducting implements rollout.Peers: it sends rollout reports to the instances that conduct
+// RolloutPeers implements rollout.Peers: it sends rollout reports to the instances that conduct
 // rollouts.
-type Conducting struct {
+type RolloutPeers struct {
 	Client   *peers.Client
 	Instance membership.Self
 	Live     func() []membership.Member
 }
 
-var _ rollout.Peers = (*Conducting)(nil)
+var _ rollout.Peers = (*RolloutPeers)(nil)
 
 // Self implements rollout.Peers.
-func (c *Conducting) Self() rollout.Peer {
+func (c *RolloutPeers) Self() rollout.Peer {
 	return rollout.Peer{Name: c.Instance.Name, Address: c.Instance.PeerAddress}
 }
 
 // Incarnation implements rollout.Peers.
-func (c *Conducting) Incarnation() uint64 { return c.Instance.Incarnation }
+func (c *RolloutPeers) Incarnation() uint64 { return c.Instance.Incarnation }
 
 // Conductors implements rollout.Peers. Instances on capable machines come first, in rendezvous
 // hashing order.
-func (c *Conducting) Conductors(service string) []rollout.Peer {
+func (c *RolloutPeers) Conductors(service string) []rollout.Peer {
 	weight := func(s membership.Self) uint64 { return xxhash.Sum64String("rollout/" + service + "/" + s.Name) }
 	list := []owner{{Self: c.Instance, weight: weight(c.Instance)}}
 	for _, m := range c.Live() {
@@ -46,7 +46,7 @@
 }
 
 // Report implements rollout.Peers.
-func (c *Conducting) Report(ctx context.Context, to rollout.Peer, r rollout.Report) (rollout.Instruction, error) {
+func (c *RolloutPeers) Report(ctx context.Context, to rollout.Peer, r rollout.Report) (rollout.Instruction, error) {
 	var i rollout.Instruction
 	err := c.Client.Call(ctx, to.Address, api.MethodRollout, r, &i)
 	return i, err
