--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -24,7 +24,7 @@
 	planner  *pipeline.Planner
 	results  resultStore
 	follower *discovery.Follower
-	rollouts Rollouts
+	rollouts RolloutConductor
 	permits  Permitting
 	clock    clockwork.Clock
 	packer   endpointPacker
@@ -35,8 +35,8 @@
 
 var _ peers.Handler = (*Handler)(nil)
 
-// Rollouts handles the rollout reports of other instances.
-type Rollouts interface {
+// RolloutConductor handles the rollout reports of other instances.
+type RolloutConductor interface {
 	// Answer returns the instruction for a report.
 	Answer(r rollout.Report) rollout.Instruction
 }
@@ -48,7 +48,7 @@
 }
 
 // NewHandler returns a handler that runs plans through the given router.
-func NewHandler(router *Router, follower *discovery.Follower, rollouts Rollouts, permits Permitting) *Handler {
+func NewHandler(router *Router, follower *discovery.Follower, rollouts RolloutConductor, permits Permitting) *Handler {
 	return &Handler{router: router, planner: router.planner, results: router.results, follower: follower, rollouts: rollouts, permits: permits, clock: router.clock, calls: map[string]context.CancelFunc{}}
 }
 
