--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -25,7 +25,7 @@
 	results  resultStore
 	follower *discovery.Follower
 	rollouts RolloutConductor
-	permits  Permitting
+	permits  PermitGranter
 	clock    clockwork.Clock
 	packer   endpointPacker
 
@@ -41,14 +41,14 @@
 	Answer(r rollout.Report) rollout.Instruction
 }
 
-// Permitting grants calls to endpoints that have a limit shared by all instances.
-type Permitting interface {
+// PermitGranter grants calls to endpoints that have a limit shared by all instances.
+type PermitGranter interface {
 	// Answer returns the grant for a permit request.
 	Answer(a throttle.Ask) throttle.Grant
 }
 
 // NewHandler returns a handler that runs plans through the given router.
-func NewHandler(router *Router, follower *discovery.Follower, rollouts RolloutConductor, permits Permitting) *Handler {
+func NewHandler(router *Router, follower *discovery.Follower, rollouts RolloutConductor, permits PermitGranter) *Handler {
 	return &Handler{router: router, planner: router.planner, results: router.results, follower: follower, rollouts: rollouts, permits: permits, clock: router.clock, calls: map[string]context.CancelFunc{}}
 }
 
