--- a/cmd/cobaltcroftd/gateway/stop.go
+++ b/cmd/cobaltcroftd/gateway/stop.go
@@ -52,7 +52,7 @@
 			g.executor.Drain()
 		}
 		g.router.Leave()
-		if g.face.InFlight() > 0 || g.handler.UnderWay() > 0 {
+		if g.face.InFlight() > 0 || g.handler.RunningPlans() > 0 {
 			quietSince = now
 		}
 		if now.Sub(begin) >= balancerTime+quietTime && now.Sub(quietSince) >= quietTime {
--- a/service/handover/failures_test.go
+++ b/service/handover/failures_test.go
@@ -78,10 +78,10 @@
 			_, err := h.run(context.Background(), call)
 			Expect(err).NotTo(HaveOccurred())
 		}()
-		Eventually(h.UnderWay).Should(Equal(1))
+		Eventually(h.RunningPlans).Should(Equal(1))
 		close(slow.begin)
 		Eventually(done).Should(BeClosed())
-		Expect(h.UnderWay()).To(BeZero())
+		Expect(h.RunningPlans()).To(BeZero())
 	})
 })
 
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -52,8 +52,8 @@
 	return &Handler{router: router, planner: router.planner, results: router.results, follower: follower, rollouts: rollouts, permits: permits, clock: router.clock, calls: map[string]context.CancelFunc{}}
 }
 
-// UnderWay returns the number of plans of other instances that are running here.
-func (h *Handler) UnderWay() int {
+// RunningPlans returns the number of plans of other instances that are running here.
+func (h *Handler) RunningPlans() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.calls)
