--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -396,7 +396,7 @@
 	g.rests.Sweep()
 	g.limited.Sweep(exists)
 	g.permits.Look()
-	g.router.Look()
+	g.router.Tick()
 	g.tellUsage(g.clock.Now())
 }
 
--- a/service/handover/divisions_test.go
+++ b/service/handover/divisions_test.go
@@ -38,9 +38,9 @@
 	// changeDivision raises the number of endpoints and waits until the owner has changed the division.
 	changeDivision := func() {
 		setEndpoints(40)
-		owner.router.Look()
+		owner.router.Tick()
 		clock.Advance(31 * time.Second)
-		owner.router.Look()
+		owner.router.Tick()
 		Expect(owner.router.Division()).To(Equal(ownership.Division{Parts: 8, Term: 2}))
 	}
 
@@ -51,7 +51,7 @@
 		clock.Advance(joinPeriod)
 		setEndpoints(5)
 		owner = all.ownerOf(all[0], "first")
-		owner.router.Look()
+		owner.router.Tick()
 		exchangeDivisions()
 	})
 
@@ -64,7 +64,7 @@
 			for range 60 {
 				clock.Advance(time.Second)
 				for _, i := range all {
-					i.router.Look()
+					i.router.Tick()
 				}
 			}
 		}
@@ -94,7 +94,7 @@
 		for range 60 {
 			clock.Advance(time.Second)
 			for _, i := range all.others(owner) {
-				i.router.Look()
+				i.router.Tick()
 			}
 		}
 		for _, i := range all {
@@ -143,9 +143,9 @@
 		}
 		setEndpoints(5)
 		first := all.holderOf(owner, pipeline.Part{Of: 8})
-		first.router.Look()
+		first.router.Tick()
 		clock.Advance(31 * time.Second)
-		first.router.Look()
+		first.router.Tick()
 		Expect(first.router.Division()).To(Equal(ownership.Division{Parts: 1, Term: 3}))
 		exchangeDivisions()
 		for _, i := range all {
--- a/service/handover/healing_test.go
+++ b/service/handover/healing_test.go
@@ -86,7 +86,7 @@
 		}
 		Expect(owner.pieces.Taken()).To(BeEmpty())
 		By("letting the claimer reach the owner again")
-		second.router.Look()
+		second.router.Tick()
 		Eventually(owner.pieces.Taken).Should(HaveLen(1))
 		all.exchangeClaims(all)
 		for _, i := range all {
@@ -101,7 +101,7 @@
 		owner.kill()
 		all.heal(domain)
 		clock.Advance(maxSuspicion)
-		second.router.Look()
+		second.router.Tick()
 		Eventually(holderSeenBy(second)).Should(HaveField("Provisional", false))
 		all.exchangeClaims(all.others(owner))
 		for _, i := range all.others(owner) {
@@ -112,7 +112,7 @@
 	It("stays provisional while the partition lasts", func() {
 		domain, cutOff := otherDomain()
 		second := claimedInPartition(domain, cutOff)
-		second.router.Look()
+		second.router.Tick()
 		Consistently(holderSeenBy(second)).WithTimeout(100 * time.Millisecond).Should(HaveField("Provisional", true))
 	})
 })
--- a/service/handover/relief.go
+++ b/service/handover/relief.go
@@ -9,9 +9,9 @@
 	"github.com/cobaltcroft/cobaltcroft/service/api"
 )
 
-// Look runs the periodic ownership checks, once per second. The owner of the first part
+// Tick runs the periodic ownership checks, once per second. The owner of the first part
 // re-evaluates the division; every owner checks whether to transfer a part.
-func (r *Router) Look() {
+func (r *Router) Tick() {
 	if r.owners.leftAt.Load() != nil || r.clock.Now().Before(r.owners.joinedAt) {
 		return
 	}
--- a/service/handover/succession_test.go
+++ b/service/handover/succession_test.go
@@ -243,7 +243,7 @@
 		gone, able := all.others(first)[0], all.others(first)[1]
 		all.enlarge(gone)
 		gone.kill()
-		first.router.Look()
+		first.router.Tick()
 		Eventually(func() bool { return first.router.owners.suspected(gone.self.PeerAddress) }).Should(BeTrue())
 		still, _ := first.router.claims.holder(whole)
 		Expect(still).To(Equal(claim))
@@ -251,13 +251,13 @@
 		waiting := all.run(first, "r2")
 		Eventually(first.pieces.Waiting).Should(Equal(2))
 		Eventually(func() bool {
-			first.router.Look()
+			first.router.Tick()
 			return able.router.claims.owns(whole)
 		}).Should(BeTrue())
 		Eventually(able.pieces.Waiting).Should(Equal(1), "it continues with the existing results")
 		able.pieces.finish()
 		Expect(outcomeOf(waiting).Results).To(HaveLen(2))
-		able.router.Look()
+		able.router.Tick()
 		Expect(able.router.claims.owns(whole)).To(BeTrue())
 	})
 
