--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -34,7 +34,7 @@
 // claims and hearClaims tell and hear who owns which part. Heartbeats begin when all is put
 // together.
 func (g *Gateway) claims() []ownership.Claim          { return g.router.Claims() }
-func (g *Gateway) hearClaims(heard []ownership.Claim) { g.router.HearClaims(heard) }
+func (g *Gateway) hearClaims(heard []ownership.Claim) { g.router.MergeClaims(heard) }
 
 // division and hearDivision tell and hear into which parts the endpoints are cut.
 func (g *Gateway) division() ownership.Division          { return g.router.Division() }
--- a/service/handover/instance_test.go
+++ b/service/handover/instance_test.go
@@ -249,7 +249,7 @@
 func (g group) exchangeClaims(some []*instance) {
 	for _, from := range some {
 		for _, to := range some {
-			to.router.HearClaims(from.router.Claims())
+			to.router.MergeClaims(from.router.Claims())
 		}
 	}
 }
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -117,8 +117,8 @@
 	return slices.DeleteFunc(r.claims.advertised(), func(c ownership.Claim) bool { return c.Part.Of != parts })
 }
 
-// HearClaims merges the claims in a heartbeat.
-func (r *Router) HearClaims(heard []ownership.Claim) { r.claims.merge(heard, "heard") }
+// MergeClaims merges the claims in a heartbeat.
+func (r *Router) MergeClaims(heard []ownership.Claim) { r.claims.merge(heard, "heard") }
 
 // Division returns the division to advertise, or the zero value if none is agreed on.
 func (r *Router) Division() ownership.Division { return r.divisions.agreed() }
--- a/service/handover/succession_test.go
+++ b/service/handover/succession_test.go
@@ -173,8 +173,8 @@
 		Eventually(first.pieces.Waiting).Should(Equal(2))
 		// The second instance was partitioned and claimed the part in a later term.
 		claim := ownership.Claim{Part: whole, Term: 9, Owner: second.self.Owner()}
-		second.router.HearClaims([]ownership.Claim{claim})
-		first.router.HearClaims(second.router.Claims())
+		second.router.MergeClaims([]ownership.Claim{claim})
+		first.router.MergeClaims(second.router.Claims())
 		Eventually(second.pieces.Taken).Should(HaveLen(1))
 		Eventually(second.pieces.Waiting).Should(Equal(1))
 		second.pieces.finish()
@@ -190,7 +190,7 @@
 		claim.Term++
 		claim.Owner = first.self.Owner()
 		for _, i := range all {
-			i.router.HearClaims([]ownership.Claim{claim})
+			i.router.MergeClaims([]ownership.Claim{claim})
 		}
 		for _, i := range all {
 			Expect(all.ownerOf(i, "r2")).To(Equal(first))
