--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -38,7 +38,7 @@
 
 // division and hearDivision tell and hear into which parts the endpoints are cut.
 func (g *Gateway) division() ownership.Division          { return g.router.Division() }
-func (g *Gateway) hearDivision(heard ownership.Division) { g.router.HearDivision(heard) }
+func (g *Gateway) hearDivision(heard ownership.Division) { g.router.MergeDivision(heard) }
 
 // documentRevision and hearRevision tell and hear which configuration is in force where.
 func (g *Gateway) documentRevision() uint64 { return g.follower.View().Document.Revision }
--- a/service/handover/divisions_test.go
+++ b/service/handover/divisions_test.go
@@ -30,7 +30,7 @@
 	exchangeDivisions := func() {
 		for _, from := range all {
 			for _, to := range all {
-				to.router.HearDivision(from.router.Division())
+				to.router.MergeDivision(from.router.Division())
 			}
 		}
 	}
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -123,8 +123,8 @@
 // Division returns the division to advertise, or the zero value if none is agreed on.
 func (r *Router) Division() ownership.Division { return r.divisions.agreed() }
 
-// HearDivision merges the division in a heartbeat.
-func (r *Router) HearDivision(heard ownership.Division) { r.divisions.merge(heard, "heard") }
+// MergeDivision merges the division in a heartbeat.
+func (r *Router) MergeDivision(heard ownership.Division) { r.divisions.merge(heard, "heard") }
 
 // Run implements gateway.Stages. If the division changes, the plan continues under the new one.
 func (r *Router) Run(ctx context.Context, plan pipeline.Plan) pipeline.Outcome {
