--- a/service/peers/client.go
+++ b/service/peers/client.go
@@ -20,31 +20,31 @@
 )
 
 const (
-	// pingPeriod is the time between pings of a connection with calls under way, and
-	// pingTimeout the silence after which it is closed, so that those calls end. An answer to a ping
-	// that waits behind a large one on a narrow link is not silence: bytes come meanwhile.
+	// pingPeriod is the time between pings on a connection with pending calls. pingTimeout is how
+	// long such a connection may receive no bytes before it is closed to fail the calls. A ping reply
+	// may be delayed behind a large answer, which does not count as silence.
 	pingPeriod  = 250 * time.Millisecond
 	pingTimeout = 600 * time.Millisecond
 )
 
-// link is a connection to a peer.
-type link struct {
+// peerConn is a connection to a peer.
+type peerConn struct {
 	*jsonrpc2.Conn
-	conn *heardConn
-	// calls counts those under way that may outlast a ping.
-	calls atomic.Int64
+	conn *monitoredConn
+	// pending counts the pending pending that may take longer than pingTimeout.
+	pending atomic.Int64
 }
 
-// Client calls peers, over one connection for each. Safe for concurrent use.
+// Client calls peers over one connection per peer. Safe for concurrent use.
 type Client struct {
 	hello api.Hello
 	usage *Usage
 
-	// dials makes one connection to a peer for all calls that wait for it.
+	// dials deduplicates concurrent connection attempts to a peer.
 	dials singleflight.Group
 
 	mu    sync.Mutex
-	conns map[string]*link
+	conns map[string]*peerConn
 }
 
 var (
@@ -52,10 +52,10 @@
 	_ config.Puller  = (*Client)(nil)
 )
 
-// NewClient returns a client that presents the token for an instance, and counts the bytes of answers
-// in usage; nil: not at all.
+// NewClient returns a client that authenticates as an instance with the shared token. It counts the
+// bytes of answers in usage, which may be nil.
 func NewClient(instance, token string, usage *Usage) *Client {
-	return &Client{hello: api.Hello{Token: token, Instance: instance}, usage: usage, conns: map[string]*link{}}
+	return &Client{hello: api.Hello{Token: token, Instance: instance}, usage: usage, conns: map[string]*peerConn{}}
 }
 
 // Pull implements config.Puller.
@@ -83,50 +83,50 @@
 	return convert.ResultFrom(result), nil
 }
 
-// Status asks a peer for its state.
+// Status fetches the status of a peer.
 func (c *Client) Status(ctx context.Context, address string) (api.InstanceStatus, error) {
 	var status api.InstanceStatus
 	err := c.Call(ctx, address, api.MethodStatus, struct{}{}, &status)
 	return status, err
 }
 
-// Timeline asks a peer for events.
+// Timeline fetches timeline events from a peer.
 func (c *Client) Timeline(ctx context.Context, address string, selection api.TimelineSelect) (api.TimelineEvents, error) {
 	var events api.TimelineEvents
 	err := c.Call(ctx, address, api.MethodTimeline, selection, &events)
 	return events, err
 }
 
-// Call calls a method of the peer at an address. A problem of kind Unavailable says that
-// the peer was not reached, one of kind Unknown that its answer did not come.
+// Call calls a method of the peer at an address. An error of kind Unavailable means that the peer
+// was not reached; kind Unknown means that the call was sent but no valid answer was received.
 func (c *Client) Call(ctx context.Context, address, method string, params, result any) error {
 	rpc, err := c.connect(ctx, address)
 	if err != nil {
-		return problem.Wrap(err, problem.Unavailable, "check the peer and the network to it", "peer %s is not reached", address)
+		return problem.Wrap(err, problem.Unavailable, "check the peer and the network to it", "peer %s is unreachable", address)
 	}
 	if deadline, ok := ctx.Deadline(); !ok || time.Until(deadline) > pingTimeout {
-		rpc.calls.Add(1)
-		defer rpc.calls.Add(-1)
+		rpc.pending.Add(1)
+		defer rpc.pending.Add(-1)
 	}
 	var answer json.RawMessage
 	if err := rpc.Call(ctx, method, params, &answer); err != nil {
-		return problem.Wrap(err, problem.Unknown, "ask again", "peer %s did not answer %s", address, method)
+		return problem.Wrap(err, problem.Unknown, "retry the call", "peer %s: call of %s failed", address, method)
 	}
 	c.usage.add(method, Answers, len(answer))
 	if err := json.Unmarshal(answer, result); err != nil {
-		return problem.Wrap(err, problem.Unknown, "run one version of the program", "the answer of peer %s to %s does not parse", address, method)
+		return problem.Wrap(err, problem.Unknown, "run the same version on all instances", "invalid answer from peer %s to %s", address, method)
 	}
 	return nil
 }
 
-// Answered tells whether a call failed since the peer said so, rather than by its silence.
+// Answered reports whether the peer itself returned the error, as opposed to a transport failure.
 func Answered(err error) bool {
 	var refusal *jsonrpc2.Error
 	return errors.As(err, &refusal)
 }
 
-// connect returns the connection to a peer, made anew if there is none.
-func (c *Client) connect(ctx context.Context, address string) (*link, error) {
+// connect returns the connection to a peer, dialing if there is none.
+func (c *Client) connect(ctx context.Context, address string) (*peerConn, error) {
 	c.mu.Lock()
 	rpc := c.conns[address]
 	c.mu.Unlock()
@@ -139,20 +139,20 @@
 		if result.Err != nil {
 			return nil, result.Err
 		}
-		return result.Val.(*link), nil
+		return result.Val.(*peerConn), nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// dial makes a connection to a peer and presents this instance on it.
-func (c *Client) dial(address string) (*link, error) {
+// dial opens a connection to a peer and authenticates on it.
+func (c *Client) dial(address string) (*peerConn, error) {
 	conn, err := dial(address)
 	if err != nil {
 		return nil, err
 	}
-	heard := &heardConn{Conn: conn}
-	rpc := &link{Conn: jsonrpc2.NewConn(context.Background(), jsonrpc2.NewBufferedStream(heard, newCodec(maxMessage)), nothing{}), conn: heard}
+	monitored := &monitoredConn{Conn: conn}
+	rpc := &peerConn{Conn: jsonrpc2.NewConn(context.Background(), jsonrpc2.NewBufferedStream(monitored, newCodec(maxMessage)), rejectAll{}), conn: monitored}
 	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout)
 	defer cancel()
 	var reply struct{}
@@ -160,12 +160,12 @@
 		_ = rpc.Close()
 		return nil, err
 	}
-	return c.keep(address, rpc), nil
+	return c.store(address, rpc), nil
 }
 
-// keep remembers a connection until it breaks. If another was made meanwhile, that
-// one is used.
-func (c *Client) keep(address string, rpc *link) *link {
+// store stores a connection until it is closed. If another one was stored in the meantime, that one
+// is returned instead.
+func (c *Client) store(address string, rpc *peerConn) *peerConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if other := c.conns[address]; other != nil {
@@ -173,7 +173,7 @@
 		return other
 	}
 	c.conns[address] = rpc
-	go rpc.watch()
+	go rpc.monitor()
 	go func() {
 		<-rpc.DisconnectNotify()
 		c.mu.Lock()
@@ -185,8 +185,8 @@
 	return rpc
 }
 
-// watch closes the connection when the peer is silent while calls are under way.
-func (l *link) watch() {
+// monitor closes the connection if the peer is silent while calls are pending.
+func (l *peerConn) monitor() {
 	ticker := time.NewTicker(pingPeriod)
 	defer ticker.Stop()
 	for {
@@ -195,25 +195,25 @@
 			return
 		case <-ticker.C:
 		}
-		if l.calls.Load() > 0 && !l.ping() && l.conn.silence() >= pingTimeout {
+		if l.pending.Load() > 0 && !l.ping() && l.conn.silence() >= pingTimeout {
 			_ = l.Close()
 			return
 		}
 	}
 }
 
-func (l *link) ping() bool {
+func (l *peerConn) ping() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout)
 	defer cancel()
 	var reply struct{}
 	return l.Conn.Call(ctx, api.MethodPing, struct{}{}, &reply) == nil
 }
 
-// Notify sends a message that has no answer. It may be lost.
+// Notify sends a message without an answer. Delivery is not guaranteed.
 func (c *Client) Notify(ctx context.Context, address, method string, params any) error {
 	rpc, err := c.connect(ctx, address)
 	if err != nil {
-		return problem.Wrap(err, problem.Unavailable, "check the peer and the network to it", "peer %s is not reached", address)
+		return problem.Wrap(err, problem.Unavailable, "check the peer and the network to it", "peer %s is unreachable", address)
 	}
 	return rpc.Notify(ctx, method, params)
 }
@@ -227,8 +227,8 @@
 	}
 }
 
-// nothing answers no calls: peers ask over connections of their own.
-type nothing struct{}
+// rejectAll rejects incoming calls: peers make calls over connections of their own.
+type rejectAll struct{}
 
 // Handle implements jsonrpc2.Handler.
-func (nothing) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
+func (rejectAll) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
--- a/service/peers/codec.go
+++ b/service/peers/codec.go
@@ -1,5 +1,5 @@
-// Package peers is the face between instances: heartbeats as signed datagrams, and
-// jsonrpc2 over TCP for what is asked and answered.
+// Package peers implements the protocol between instances: heartbeats in signed UDP datagrams, and
+// JSON-RPC 2.0 calls over TCP.
 package peers
 
 import (
@@ -15,15 +15,15 @@
 )
 
 const (
-	// maxStrange bounds a message before the peer has shown the token, maxMessage
-	// one after.
-	maxStrange = 4 << 10
-	maxMessage = 64 << 20
-	lengthSize = 4
+	// maxUnauthenticatedMessage bounds the size of a message on an unauthenticated connection, maxMessage on an
+	// authenticated one.
+	maxUnauthenticatedMessage = 4 << 10
+	maxMessage                = 64 << 20
+	lengthSize                = 4
 )
 
-// codec frames each JSON object with its length, so that its size can be bounded
-// before it is read.
+// codec prefixes each JSON object with its length, so that its size can be checked before it is
+// read.
 type codec struct{ limit atomic.Int64 }
 
 var _ jsonrpc2.ObjectCodec = (*codec)(nil)
@@ -53,7 +53,7 @@
 	}
 	size := int64(binary.BigEndian.Uint32(length[:]))
 	if size > c.limit.Load() {
-		return problem.New(problem.Invalid, "check which program speaks to the peers' face", "a message of %d bytes is over the bound of %d", size, c.limit.Load())
+		return problem.New(problem.Invalid, "check which program connects to listen.peers", "a message of %d bytes exceeds the limit of %d", size, c.limit.Load())
 	}
 	data := make([]byte, size)
 	if _, err := io.ReadFull(stream, data); err != nil {
--- a/service/peers/datagram.go
+++ b/service/peers/datagram.go
@@ -20,25 +20,25 @@
 )
 
 const (
-	// signatureSize is how many bytes of the HMAC-SHA256 precede a datagram's body.
+	// signatureSize is the length in bytes of the truncated HMAC-SHA256 before the body of a datagram.
 	signatureSize = 16
-	// maxDatagram bounds a datagram in bytes.
+	// maxDatagram bounds the size of a datagram in bytes.
 	maxDatagram = 8 << 10
-	// maxLeaving bounds the leaving endpoints named in one heartbeat; more take
-	// turns.
+	// maxLeaving bounds the leaving endpoints in one heartbeat. A longer list is spread over several
+	// heartbeats.
 	maxLeaving = 64
 )
 
-// beat is a heartbeat with all that travels in its datagram.
-type beat struct {
+// datagram is a heartbeat with the other contents of its datagram.
+type datagram struct {
 	heartbeat membership.Heartbeat
 	leaving   []control.LeavingEndpoint
 	demands   []limits.Demand
 	stamp     timeline.Stamp
 }
 
-// encode returns the signed datagram.
-func encode(b beat, secret []byte) ([]byte, error) {
+// encode returns the signed datagram of a heartbeat.
+func encode(b datagram, secret []byte) ([]byte, error) {
 	h := b.heartbeat
 	wire := &pb.Heartbeat{
 		Instance:      h.From.Name,
@@ -52,7 +52,7 @@
 		Suspects:      h.Suspects,
 		Sequence:      h.Sequence,
 	}
-	for _, e := range turn(b.leaving, h.Sequence) {
+	for _, e := range rotate(b.leaving, h.Sequence) {
 		wire.LeavingEndpoints = append(wire.LeavingEndpoints, &pb.LeavingEndpoint{Name: e.Name, Incarnation: e.Incarnation})
 	}
 	for _, d := range b.demands {
@@ -83,8 +83,8 @@
 	return append(signature(body, secret), body...), nil
 }
 
-// turn returns up to maxLeaving endpoints, others with each heartbeat.
-func turn(leaving []control.LeavingEndpoint, sequence uint64) []control.LeavingEndpoint {
+// rotate returns up to maxLeaving endpoints, rotating with the sequence number.
+func rotate(leaving []control.LeavingEndpoint, sequence uint64) []control.LeavingEndpoint {
 	n := uint64(len(leaving))
 	if n <= maxLeaving {
 		return leaving
@@ -96,16 +96,16 @@
 	return picked
 }
 
-// decode reads a datagram; one that is not signed with the secret is refused.
-func decode(data, secret []byte) (beat, error) {
+// decode verifies and decodes a datagram.
+func decode(data, secret []byte) (datagram, error) {
 	if len(data) < signatureSize || !hmac.Equal(data[:signatureSize], signature(data[signatureSize:], secret)) {
-		return beat{}, problem.New(problem.Denied, "give all instances the same tokens.peers", "a datagram is not signed with the peers' token")
+		return datagram{}, problem.New(problem.Denied, "give all instances the same tokens.peers", "the datagram is not signed with the peer token")
 	}
 	var wire pb.Heartbeat
 	if err := proto.Unmarshal(data[signatureSize:], &wire); err != nil {
-		return beat{}, problem.Wrap(err, problem.Invalid, "run one version of the program", "a heartbeat does not parse")
+		return datagram{}, problem.Wrap(err, problem.Invalid, "run the same version on all instances", "invalid heartbeat")
 	}
-	b := beat{
+	b := datagram{
 		heartbeat: membership.Heartbeat{
 			From: membership.Self{
 				Name:          wire.Instance,
@@ -150,7 +150,7 @@
 	return b, nil
 }
 
-// encodeClaim leaves out who the owner is if that is the sender.
+// encodeClaim omits the owner if it is the sender.
 func encodeClaim(c ownership.Claim, from membership.Self) *pb.Claim {
 	wire := &pb.Claim{Part: uint32(c.Part.Number), Of: uint32(c.Part.Of), Term: c.Term, Provisional: c.Provisional}
 	if c.Owner != from.Owner() {
@@ -171,7 +171,7 @@
 	return &pb.EndpointEnd{Digest: e.Digest[:], Life: e.Life, AgeMs: ageMs(e.Age), Cleared: e.Cleared}
 }
 
-// decodeEnd tells whether the end names a request and an endpoint.
+// decodeEnd reports false if the end has no endpoint or no valid digest.
 func decodeEnd(wire *pb.EndpointEnd) (quarantine.End, bool) {
 	e := quarantine.End{
 		Life:    wire.GetLife(),
@@ -186,7 +186,7 @@
 	return &pb.EndpointLimit{Life: l.Life, Limited: l.Limited, PerSecond: float32(l.PerSecond), AgeMs: ageMs(l.Age)}
 }
 
-// decodeLimit tells whether the limit names an endpoint, and is one.
+// decodeLimit reports false if the limit has no endpoint or no valid rate.
 func decodeLimit(wire *pb.EndpointLimit) (throttle.Limit, bool) {
 	l := throttle.Limit{Life: wire.GetLife(), Limited: wire.GetLimited(), PerSecond: float64(wire.GetPerSecond()), Age: age(wire.GetAgeMs())}
 	return l, l.Life != "" && l.PerSecond >= 0 && !math.IsInf(l.PerSecond, 0)
--- a/service/peers/datagram_test.go
+++ b/service/peers/datagram_test.go
@@ -16,9 +16,9 @@
 
 var secret = []byte("peers-token")
 
-// typical is a heartbeat at the size that the users' plan names.
-func typical() beat {
-	b := beat{
+// typicalDatagram is a heartbeat of typicalDatagram size.
+func typicalDatagram() datagram {
+	b := datagram{
 		heartbeat: membership.Heartbeat{
 			From:     membership.Self{Name: "sala-a-17", Incarnation: 1796204992778373772, FailureDomain: "sala-a", PeerAddress: "10.12.13.14:7403", Machine: membership.Machine{Cores: 0.75, LinkMbps: 200}},
 			Sequence: 123456,
@@ -38,16 +38,16 @@
 
 func TestDatagramKeepsWhatItCarries(t *testing.T) {
 	g := NewWithT(t)
-	data, err := encode(typical(), secret)
+	data, err := encode(typicalDatagram(), secret)
 	g.Expect(err).NotTo(HaveOccurred())
 	got, err := decode(data, secret)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(got).To(Equal(typical()))
+	g.Expect(got).To(Equal(typicalDatagram()))
 }
 
 func TestDatagramKeepsClaimsOfOthers(t *testing.T) {
 	g := NewWithT(t)
-	b := typical()
+	b := typicalDatagram()
 	b.heartbeat.Claims = append(b.heartbeat.Claims, ownership.Claim{
 		Part: ownership.Part{Number: 2, Of: 4}, Term: 9, Owner: ownership.Owner{Name: "sala-b-3", Incarnation: 5, PeerAddress: "10.12.14.3:7403"},
 	})
@@ -60,7 +60,7 @@
 
 func TestDatagramOfAnotherSecretIsRefused(t *testing.T) {
 	g := NewWithT(t)
-	data, err := encode(typical(), []byte("another secret"))
+	data, err := encode(typicalDatagram(), []byte("another secret"))
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = decode(data, secret)
 	g.Expect(err).To(MatchError(ContainSubstring("not signed")))
@@ -74,7 +74,7 @@
 	}
 	named := map[string]bool{}
 	for sequence := range uint64(200) {
-		for _, e := range turn(many, sequence) {
+		for _, e := range rotate(many, sequence) {
 			named[e.Name] = true
 		}
 	}
@@ -82,31 +82,30 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	data, _ := encode(typical(), secret)
+	data, _ := encode(typicalDatagram(), secret)
 	f.Add(data)
 	f.Add([]byte("short"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		// The body of any datagram, made to look signed, must not harm.
+		// Decoding any signed body must not panic.
 		body := data[min(signatureSize, len(data)):]
 		b, err := decode(append(signature(body, secret), body...), secret)
 		if err != nil {
 			return
 		}
 		if _, err := encode(b, secret); err != nil {
-			t.Skip("names that are not UTF-8 can't be sent on")
+			t.Skip("names that are not UTF-8 cannot be encoded")
 		}
 	})
 }
 
-// BenchmarkHeartbeatSize gives the bytes of a heartbeat in protobuf, and what JSON
-// would need.
+// BenchmarkHeartbeatSize measures the size of a heartbeat in protobuf and in JSON.
 func BenchmarkHeartbeatSize(b *testing.B) {
 	var size int
 	for b.Loop() {
-		data, _ := encode(typical(), secret)
+		data, _ := encode(typicalDatagram(), secret)
 		size = len(data)
 	}
-	t := typical()
+	t := typicalDatagram()
 	text, _ := json.Marshal([]any{t.heartbeat, t.leaving, t.stamp})
 	b.ReportMetric(float64(size), "bytes/heartbeat")
 	b.ReportMetric(float64(len(text)), "json-bytes/heartbeat")
--- a/service/peers/dial.go
+++ b/service/peers/dial.go
@@ -7,49 +7,48 @@
 )
 
 const (
-	// dialTimeout bounds how long a connection may take to come up.
+	// dialTimeout bounds the time to establish a connection.
 	dialTimeout = 500 * time.Millisecond
-	// dialEvery is the time between attempts that run side by side: an opening packet
-	// that was lost, or sent before the peer was up, is only sent again after a second.
-	dialEvery = 150 * time.Millisecond
+	// dialStagger is the time between concurrent attempts. It is shorter than the TCP retransmission
+	// timeout of a lost SYN packet, which is one second.
+	dialStagger = 150 * time.Millisecond
 )
 
-// dialed is what came of one attempt.
-type dialed struct {
+// dialResult is the result of one attempt.
+type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// dial makes a connection to an address.
 func dial(address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	return stagger(ctx, func() (net.Conn, error) { return (&net.Dialer{}).DialContext(ctx, "tcp", address) })
 }
 
-// stagger makes attempts that begin after each other, until one succeeds or fails or ctx
-// ends. Connections that come up later are closed.
+// stagger starts an attempt every dialStagger until one returns or ctx is done. It returns the
+// first result; connections established later are closed.
 func stagger(ctx context.Context, attempt func() (net.Conn, error)) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	results := make(chan dialed)
-	begin := func() {
+	results := make(chan dialResult)
+	start := func() {
 		conn, err := attempt()
 		select {
-		case results <- dialed{conn, err}:
+		case results <- dialResult{conn, err}:
 		case <-ctx.Done():
 			if conn != nil {
 				_ = conn.Close()
 			}
 		}
 	}
-	ticker := time.NewTicker(dialEvery)
+	ticker := time.NewTicker(dialStagger)
 	defer ticker.Stop()
-	go begin()
+	go start()
 	for {
 		select {
 		case <-ticker.C:
-			go begin()
+			go start()
 		case r := <-results:
 			return r.conn, r.err
 		case <-ctx.Done():
--- a/service/peers/dial_test.go
+++ b/service/peers/dial_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// An opening packet that is lost must not cost the second after which it is sent again.
+// A lost SYN packet must not delay the connection by the TCP retransmission timeout.
 func TestStaggerTakesALaterAttemptWhereTheFirstHangs(t *testing.T) {
 	hanging := make(chan struct{})
 	defer close(hanging)
--- a/service/peers/ends_test.go
+++ b/service/peers/ends_test.go
@@ -13,7 +13,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/quarantine"
 )
 
-// someEnds are n ends of endpoints, each under a request of its own.
+// someEnds returns n ends of endpoints, each for another request.
 func someEnds(n int) []quarantine.End {
 	var ends []quarantine.End
 	for i := range n {
@@ -29,7 +29,7 @@
 
 func TestDatagramKeepsEndsOfEndpoints(t *testing.T) {
 	g := NewWithT(t)
-	b := typical()
+	b := typicalDatagram()
 	b.heartbeat.Ends = someEnds(32)
 	data, err := encode(b, secret)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -39,8 +39,7 @@
 	g.Expect(got).To(Equal(b))
 }
 
-// An end that names no request or no endpoint would hold a request that nobody sent, or count
-// endpoints that there are not.
+// An end without a request digest or an endpoint must not count towards a quarantine.
 func TestEndsThatNameNothingAreDropped(t *testing.T) {
 	digest := quarantine.Sum("organisation", "", "/", nil)
 	for name, wire := range map[string]*pb.EndpointEnd{
@@ -60,11 +59,11 @@
 	g.Expect(far.Age).To(BeNumerically(">", 24*time.Hour))
 }
 
-// measureSize reports the bytes that each of n things adds to a heartbeat.
-func measureSize(b *testing.B, n int, unit string, add func(*beat)) {
+// measureSize reports the bytes that each of n items adds to a heartbeat.
+func measureSize(b *testing.B, n int, unit string, add func(*datagram)) {
 	var size int
 	for b.Loop() {
-		beat := typical()
+		beat := typicalDatagram()
 		before, _ := encode(beat, secret)
 		add(&beat)
 		after, _ := encode(beat, secret)
@@ -73,18 +72,18 @@
 	b.ReportMetric(float64(size), "bytes/"+unit)
 }
 
-// BenchmarkDepartingSize gives the bytes that one life adds to a heartbeat which names it as leaving.
+// BenchmarkDepartingSize measures the bytes that a leaving endpoint adds to a heartbeat.
 func BenchmarkDepartingSize(b *testing.B) {
 	const n = 8
-	measureSize(b, n, "life", func(beat *beat) {
+	measureSize(b, n, "life", func(beat *datagram) {
 		for i := range n {
 			beat.leaving = append(beat.leaving, control.LeavingEndpoint{Name: fmt.Sprintf("i-0123456%03x@1796270000%03d", i, i)})
 		}
 	})
 }
 
-// BenchmarkEndSize gives the bytes that an end adds to a heartbeat.
+// BenchmarkEndSize measures the bytes that an end adds to a heartbeat.
 func BenchmarkEndSize(b *testing.B) {
 	const n = 32
-	measureSize(b, n, "end", func(beat *beat) { beat.heartbeat.Ends = someEnds(n) })
+	measureSize(b, n, "end", func(beat *datagram) { beat.heartbeat.Ends = someEnds(n) })
 }
--- a/service/peers/frames_test.go
+++ b/service/peers/frames_test.go
@@ -16,19 +16,18 @@
 )
 
 const (
-	// largeAnswer is the bytes of 12,000 endpoints, packed, and narrowLink a link of 2 Mbit/s in
-	// bytes a second: 1.4 s, more than twice the silence after which a connection is closed. What takes as
-	// long as that is the link, and not the writing of a larger answer under the race detector.
-	largeAnswer = 360_000
-	narrowLink  = 250_000
-	// longCall is how long a call lasts that runs beside it.
+	// largeAnswer, in bytes, takes more than twice the ping timeout at slowLinkRate, in bytes per
+	// second.
+	largeAnswer  = 360_000
+	slowLinkRate = 250_000
+	// longCall is the duration of a concurrent call.
 	longCall = 2 * time.Second
 )
 
-// unequal answers one method with many bytes, and the others after a while.
-type unequal struct{}
+// largeAnswerHandler answers the method "large" with many bytes, and all others after longCall.
+type largeAnswerHandler struct{}
 
-func (unequal) Answer(ctx context.Context, method string, _ json.RawMessage) (any, error) {
+func (largeAnswerHandler) Answer(ctx context.Context, method string, _ json.RawMessage) (any, error) {
 	if method == "large" {
 		return strings.Repeat("x", largeAnswer), nil
 	}
@@ -39,9 +38,8 @@
 	return "made", nil
 }
 
-// throttle passes connections on to an address, and what comes back at the rate of the narrow
-// link. It returns its own address.
-func throttle(to string) string {
+// rateLimitedProxy starts a proxy that limits answers to slowLinkRate, and returns its address.
+func rateLimitedProxy(to string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(l.Close)
@@ -59,34 +57,34 @@
 				_, _ = io.Copy(out, in)
 				_ = out.Close()
 			}()
-			go trickle(in, out)
+			go copySlowly(in, out)
 		}
 	}()
 	return l.Addr().String()
 }
 
-// trickle copies at the rate of the narrow link.
-func trickle(to, from net.Conn) {
+// copySlowly copies at slowLinkRate.
+func copySlowly(to, from net.Conn) {
 	defer func() { _ = to.Close() }()
-	buffer := make([]byte, narrowLink/100)
+	buffer := make([]byte, slowLinkRate/100)
 	for {
 		n, err := from.Read(buffer)
 		if _, writeErr := to.Write(buffer[:n]); err != nil || writeErr != nil {
 			return
 		}
-		time.Sleep(time.Duration(n) * time.Second / narrowLink)
+		time.Sleep(time.Duration(n) * time.Second / slowLinkRate)
 	}
 }
 
-var _ = Describe("a large answer over a narrow link", func() {
-	It("does not end the other calls of its connection", func() {
+var _ = Describe("a large answer over a slow link", func() {
+	It("does not fail the other calls on its connection", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		s := peers.NewServer(unequal{}, "token", nil, logging.Discard().For("peers"))
+		s := peers.NewServer(largeAnswerHandler{}, "token", nil, logging.Discard().For("peers"))
 		go s.Serve(l)
 		DeferCleanup(s.Close)
 		DeferCleanup(l.Close)
-		address := throttle(l.Addr().String())
+		address := rateLimitedProxy(l.Addr().String())
 		c := peers.NewClient("a", "token", nil)
 		DeferCleanup(c.Close)
 		call := func(method string) error {
--- a/service/peers/gossip.go
+++ b/service/peers/gossip.go
@@ -15,8 +15,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
 
-// Gossip sends and receives heartbeats over UDP. It is the control service's way
-// to its peers.
+// Gossip sends and receives heartbeats over UDP for the control service.
 type Gossip struct {
 	conn     *net.UDPConn
 	secret   []byte
@@ -31,9 +30,9 @@
 
 var _ control.Peers = (*Gossip)(nil)
 
-// NewGossip returns a gossip over conn, which tells the demands of shares and takes in
-// those of the own failure domain. onBehind is called, and must not block, when
-// a peer has a newer configuration.
+// NewGossip returns a gossip over conn. Heartbeats carry the demands of shares, which also receives
+// the demands of peers in the same failure domain. onBehind is called when a peer has a newer
+// configuration, and must not block.
 func NewGossip(conn *net.UDPConn, secret string, clock *timeline.Clock, shares *limits.Shares, set *metrics.Set, log *logrus.Entry, onBehind func(membership.Self, uint64)) *Gossip {
 	return &Gossip{
 		conn:     conn,
@@ -48,12 +47,12 @@
 	}
 }
 
-// Bytes returns how many bytes of heartbeats were sent and received.
+// Bytes returns the number of heartbeat bytes sent and received.
 func (g *Gossip) Bytes() (sent, received uint64) { return g.sent.Get(), g.received.Get() }
 
 // Broadcast implements control.Peers.
 func (g *Gossip) Broadcast(h membership.Heartbeat, leaving []control.LeavingEndpoint, to []string) {
-	data, err := encode(beat{heartbeat: h, leaving: leaving, demands: g.shares.Named(), stamp: g.clock.Now()}, g.secret)
+	data, err := encode(datagram{heartbeat: h, leaving: leaving, demands: g.shares.Named(), stamp: g.clock.Now()}, g.secret)
 	if err != nil {
 		g.log.WithField("event", "heartbeat_not_encoded").Error(err)
 		return
@@ -69,7 +68,7 @@
 		g.log.WithFields(logrus.Fields{"event": "bad_peer_address", "address": address}).Warn(err)
 		return
 	}
-	// A datagram that can't be sent is as good as lost.
+	// Heartbeats are periodic, so a failed write is treated like a lost datagram.
 	n, _ := g.conn.WriteToUDPAddrPort(data, target)
 	g.sent.Add(n)
 }
@@ -77,16 +76,16 @@
 // Behind implements control.Peers.
 func (g *Gossip) Behind(peer membership.Self, revision uint64) { g.onBehind(peer, revision) }
 
-// Listener takes received heartbeats.
+// Listener receives heartbeats.
 type Listener interface {
 	// Self is this instance.
 	Self() membership.Self
-	// Heard is called with each heartbeat and must not block for long.
+	// Heard is called for each heartbeat. It must not block for long.
 	Heard(h membership.Heartbeat, leaving []control.LeavingEndpoint)
 }
 
-// Run gives received heartbeats to a listener until t dies or the gossip is closed.
-func (g *Gossip) Run(t *tomb.Tomb, c Listener) error {
+// Run passes received heartbeats to a listener until t is dying or the socket is closed.
+func (g *Gossip) Run(t *tomb.Tomb, listener Listener) error {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := g.conn.ReadFromUDPAddrPort(buffer)
@@ -104,12 +103,12 @@
 			continue
 		}
 		g.clock.Observe(b.stamp)
-		if b.heartbeat.From.FailureDomain == c.Self().FailureDomain {
+		if b.heartbeat.From.FailureDomain == listener.Self().FailureDomain {
 			g.shares.Heard(b.heartbeat.From.Name, b.demands)
 		}
-		c.Heard(b.heartbeat, b.leaving)
+		listener.Heard(b.heartbeat, b.leaving)
 	}
 }
 
-// Close ends Run.
+// Close closes the socket, which ends Run.
 func (g *Gossip) Close() { _ = g.conn.Close() }
--- a/service/peers/gossip_test.go
+++ b/service/peers/gossip_test.go
@@ -16,13 +16,12 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
 
-type deaf struct{}
+type discardListener struct{}
 
-func (deaf) Self() membership.Self                                 { return membership.Self{} }
-func (deaf) Heard(membership.Heartbeat, []control.LeavingEndpoint) {}
+func (discardListener) Self() membership.Self                                 { return membership.Self{} }
+func (discardListener) Heard(membership.Heartbeat, []control.LeavingEndpoint) {}
 
-// A loop that goes on after its socket is closed spins, and keeps a process with one
-// processor from ending.
+// A read loop that continues after its socket is closed would spin.
 func TestRunEndsWithItsSocketThoughItsTombLives(t *testing.T) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -34,12 +33,12 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = g.Run(&alive, deaf{})
+		_ = g.Run(&alive, discardListener{})
 	}()
 	g.Close()
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the loop goes on")
+		t.Fatal("the read loop did not end")
 	}
 }
--- a/service/peers/heard.go
+++ b/service/peers/heard.go
@@ -7,45 +7,44 @@
 )
 
 const (
-	// writeTimeout is how long the peer may take none of writeStep bytes: more than the second
-	// sending of a lost packet takes, and 26 ms on an idle link of 10 Mbit/s.
+	// writeTimeout bounds the write of each chunk of writeChunk bytes. It leaves time for the
+	// retransmission of a lost packet.
 	writeTimeout = time.Second
-	writeStep    = 32 << 10
+	writeChunk   = 32 << 10
 )
 
-// heardConn knows how long its reader has waited for bytes in vain, and closes itself when the peer takes none.
-// While a large message is being parsed nobody reads, and the peer is not silent: on a fifth of a core that
-// takes a quarter of a second for 1.7 MB. Without the bound on writes, a
-// connection to a peer that was cut off with more under way than the sockets hold never ended: the
-// ping that would have shown it waited to be written too, and 189 plans of two seconds waited until
-// the cut had healed.
-type heardConn struct {
+// monitoredConn measures how long its reader has been blocked, and closes itself if a write times out.
+//
+// While a large message is being decoded nobody reads, which does not count as silence. Without the
+// write timeout, calls over a full connection to a partitioned peer would hang, because the ping
+// that detects the partition could not be written either.
+type monitoredConn struct {
 	net.Conn
-	// waits is since when the reader waits for bytes; nil while it does not.
-	waits atomic.Pointer[time.Time]
+	// readSince is when the current Read began; nil if there is none.
+	readSince atomic.Pointer[time.Time]
 }
 
-// Read implements net.Conn. It has one caller at a time.
-func (c *heardConn) Read(buffer []byte) (int, error) {
+// Read implements net.Conn. It must not be called concurrently.
+func (c *monitoredConn) Read(buffer []byte) (int, error) {
 	now := time.Now()
-	c.waits.Store(&now)
-	defer c.waits.Store(nil)
+	c.readSince.Store(&now)
+	defer c.readSince.Store(nil)
 	return c.Conn.Read(buffer)
 }
 
 // Write implements net.Conn.
-func (c *heardConn) Write(data []byte) (int, error) {
+func (c *monitoredConn) Write(data []byte) (int, error) {
 	written := 0
 	for written < len(data) {
-		step := data[written:min(len(data), written+writeStep)]
+		chunk := data[written:min(len(data), written+writeChunk)]
 		err := c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if err == nil {
 			var n int
-			n, err = c.Conn.Write(step)
+			n, err = c.Conn.Write(chunk)
 			written += n
 		}
 		if err != nil {
-			// Part of a message may have gone: nothing that followed would be read rightly.
+			// A partially written message leaves the stream unusable.
 			_ = c.Close()
 			return written, err
 		}
@@ -53,11 +52,11 @@
 	return written, nil
 }
 
-// silence is how long the reader has waited for bytes that do not come.
-func (c *heardConn) silence() time.Duration {
-	waits := c.waits.Load()
-	if waits == nil {
+// silence returns how long the current Read has been blocked.
+func (c *monitoredConn) silence() time.Duration {
+	since := c.readSince.Load()
+	if since == nil {
 		return 0
 	}
-	return time.Since(*waits)
+	return time.Since(*since)
 }
--- a/service/peers/heard_test.go
+++ b/service/peers/heard_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// A peer is silent while its bytes are waited for, and not while nobody reads since a message is being parsed.
+// Only a blocked Read counts as silence, not the time in which a message is decoded.
 func TestSilenceIsTheTimeThatBytesAreWaitedFor(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	conn := &heardConn{Conn: near}
+	conn := &monitoredConn{Conn: near}
 	time.Sleep(5 * time.Millisecond)
 	if silence := conn.silence(); silence != 0 {
-		t.Errorf("%s of silence while nobody reads", silence)
+		t.Errorf("silence is %s without a Read, want 0", silence)
 	}
 	read := make(chan error)
 	go func() {
@@ -23,7 +23,7 @@
 	}()
 	for begin := time.Now(); conn.silence() < 5*time.Millisecond; time.Sleep(time.Millisecond) {
 		if time.Since(begin) > 5*time.Second {
-			t.Fatal("no silence though bytes are waited for")
+			t.Fatal("silence does not grow while Read is blocked")
 		}
 	}
 	if _, err := far.Write([]byte{1}); err != nil {
@@ -33,6 +33,6 @@
 		t.Fatal(err)
 	}
 	if silence := conn.silence(); silence != 0 {
-		t.Errorf("%s of silence after bytes came", silence)
+		t.Errorf("silence is %s after Read returned, want 0", silence)
 	}
 }
--- a/service/peers/limits_test.go
+++ b/service/peers/limits_test.go
@@ -12,7 +12,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/throttle"
 )
 
-// someLimits are those of n endpoints, every second of them lifted.
+// someLimits returns the limits of n endpoints, every second one lifted.
 func someLimits(n int) []throttle.Limit {
 	var limits []throttle.Limit
 	for i := range n {
@@ -23,7 +23,7 @@
 
 func TestDatagramKeepsLimitsOfEndpoints(t *testing.T) {
 	g := NewWithT(t)
-	b := typical()
+	b := typicalDatagram()
 	b.heartbeat.Limits = someLimits(8)
 	data, err := encode(b, secret)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -47,8 +47,8 @@
 	}
 }
 
-// BenchmarkLimitSize gives the bytes that one limit adds to a heartbeat.
+// BenchmarkLimitSize measures the bytes that a limit adds to a heartbeat.
 func BenchmarkLimitSize(b *testing.B) {
 	const n = 8
-	measureSize(b, n, "limit", func(beat *beat) { beat.heartbeat.Limits = someLimits(n) })
+	measureSize(b, n, "limit", func(beat *datagram) { beat.heartbeat.Limits = someLimits(n) })
 }
--- a/service/peers/listen.go
+++ b/service/peers/listen.go
@@ -6,11 +6,11 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
-// portTries bounds the search for a port that is free for TCP and UDP alike, where the
-// settings leave the choice to the system.
-const portTries = 20
+// maxPortAttempts bounds the search for a port that is free for both TCP and UDP if the configured port
+// is 0.
+const maxPortAttempts = 20
 
-// ListenTCP listens at the address (IP:port) that the settings give a face.
+// ListenTCP listens on the address (IP:port) of a listen.* setting.
 func ListenTCP(face, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -19,10 +19,10 @@
 	return listener, nil
 }
 
-// Listen listens for peers' calls over TCP and their heartbeats over UDP, at one port.
+// Listen listens on the same port for calls over TCP and heartbeats over UDP.
 func Listen(address string) (net.Listener, *net.UDPConn, error) {
 	var last error
-	for range portTries {
+	for range maxPortAttempts {
 		listener, err := ListenTCP("peers", address)
 		if err != nil {
 			return nil, nil, err
@@ -35,5 +35,5 @@
 		last = err
 		_ = listener.Close()
 	}
-	return nil, nil, problem.Wrap(last, problem.Invalid, "use an address whose port is free for UDP too", "listen.peers %s", address)
+	return nil, nil, problem.Wrap(last, problem.Invalid, "use an address whose port is free for both TCP and UDP", "listen.peers %s", address)
 }
--- a/service/peers/server.go
+++ b/service/peers/server.go
@@ -21,31 +21,31 @@
 )
 
 const (
-	// maxConnections bounds the connections of peers.
+	// maxConnections bounds the connections accepted from peers.
 	maxConnections = 1024
-	// helloTimeout is how long a connection may go without the token.
+	// helloTimeout bounds the time until a connection is authenticated.
 	helloTimeout = 5 * time.Second
 	// maxEvents bounds the events in one answer.
 	maxEvents = 10_000
 )
 
-// Backend is what the peers' face serves.
+// Backend provides the data of this instance to peers.
 type Backend interface {
-	// Since returns the configuration after a revision.
+	// Since returns the configuration changes after a revision.
 	Since(from uint64) (config.Update, error)
-	// Bound runs a not-repeatable request that is bound to this instance.
+	// Bound runs a non-repeatable request that is bound to this instance.
 	Bound(ctx context.Context, holder once.Holder, r request.Request) request.Result
 	Status() api.InstanceStatus
 	Ring() *timeline.Ring
 }
 
-// Handler answers the calls of peers that have shown the token.
+// Handler serves the calls of authenticated peers.
 type Handler interface {
 	// Answer returns the result of a method, or a problem.
 	Answer(ctx context.Context, method string, params json.RawMessage) (any, error)
 }
 
-// Server answers peers over TCP.
+// Server serves peers over TCP.
 type Server struct {
 	handler Handler
 	token   string
@@ -58,8 +58,8 @@
 	closed bool
 }
 
-// NewServer returns a server of the handler's methods, which counts the bytes of questions in usage; nil:
-// not at all.
+// NewServer returns a server of the handler's methods. It counts the bytes of parameters in usage,
+// which may be nil.
 func NewServer(handler Handler, token string, usage *Usage, log *logrus.Entry) *Server {
 	return &Server{handler: handler, token: token, usage: usage, log: log, slots: make(chan struct{}, maxConnections), conns: map[*jsonrpc2.Conn]struct{}{}}
 }
@@ -82,7 +82,7 @@
 
 func (s *Server) open(conn net.Conn) {
 	_ = conn.SetReadDeadline(time.Now().Add(helloTimeout))
-	session := &session{server: s, conn: conn, codec: newCodec(maxStrange)}
+	session := &session{server: s, conn: conn, codec: newCodec(maxUnauthenticatedMessage)}
 	stream := jsonrpc2.NewBufferedStream(conn, session.codec)
 	ctx, cancel := context.WithCancel(context.Background())
 	rpc := jsonrpc2.NewConn(ctx, stream, session)
@@ -117,24 +117,23 @@
 	}
 }
 
-// session is one peer's connection.
+// session is the connection of one peer.
 type session struct {
 	server *Server
 	conn   net.Conn
 	codec  *codec
-	// trusted is set by the hello. It is read and written by the connection's
-	// reader alone, which calls Handle.
-	trusted bool
+	// authenticated is set after authentication. Only the connection's read loop, which calls Handle,
+	// accesses it.
+	authenticated bool
 }
 
-// Handle implements jsonrpc2.Handler. It must not block, since it is called by the
-// connection's reader.
+// Handle implements jsonrpc2.Handler. It runs in the connection's read loop and must not block.
 func (s *session) Handle(ctx context.Context, rpc *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	if req.Method == api.MethodHello {
 		s.hello(ctx, rpc, req)
 		return
 	}
-	if !s.trusted {
+	if !s.authenticated {
 		s.refuse(ctx, rpc, req)
 		return
 	}
@@ -155,7 +154,7 @@
 		s.refuse(ctx, rpc, req)
 		return
 	}
-	s.trusted = true
+	s.authenticated = true
 	s.codec.limit.Store(maxMessage)
 	_ = s.conn.SetReadDeadline(time.Time{})
 	_ = rpc.Reply(ctx, req.ID, struct{}{})
@@ -184,7 +183,7 @@
 	_ = rpc.Reply(ctx, req.ID, result)
 }
 
-// InstanceHandler answers the methods between instances of the callers' face.
+// InstanceHandler serves the configuration, forwarding, status and timeline methods.
 type InstanceHandler struct{ Backend Backend }
 
 var _ Handler = InstanceHandler{}
@@ -216,9 +215,9 @@
 	return nil, UnknownMethod(method)
 }
 
-// UnknownMethod is the problem of a method that a handler does not have.
+// UnknownMethod returns the error for a method that a handler does not implement.
 func UnknownMethod(method string) error {
-	return problem.New(problem.NotFound, "run one version of the program", "no method %q", method)
+	return problem.New(problem.NotFound, "run the same version on all instances", "unknown method %q", method)
 }
 
 func (h InstanceHandler) forward(ctx context.Context, f api.Forward) api.Result {
@@ -230,7 +229,7 @@
 	return convert.Result(h.Backend.Bound(ctx, holder, r))
 }
 
-// Select answers a selection from one instance's ring.
+// Select returns the events of one instance that match a selection.
 func Select(ring *timeline.Ring, instance string, selection api.TimelineSelect) api.TimelineEvents {
 	events, dropped := ring.Select(timeline.Filter{Request: selection.Request, Change: selection.Change, Endpoint: selection.Endpoint})
 	limit := selection.Limit
@@ -245,30 +244,30 @@
 	return answer
 }
 
-// Params reads the parameters of a method.
+// Params decodes the parameters of a method.
 func Params[T any](method string, raw json.RawMessage) (T, error) {
 	var v T
 	if len(raw) == 0 {
-		return v, problem.New(problem.Invalid, "run one version of the program", "method %s came without parameters", method)
+		return v, problem.New(problem.Invalid, "run the same version on all instances", "method %s: missing parameters", method)
 	}
 	if err := json.Unmarshal(raw, &v); err != nil {
-		return v, problem.Wrap(err, problem.Invalid, "run one version of the program", "parameters of %s do not parse", method)
+		return v, problem.Wrap(err, problem.Invalid, "run the same version on all instances", "method %s: invalid parameters", method)
 	}
 	return v, nil
 }
 
-// codeOf gives each kind of problem a code in jsonrpc2's range for applications.
+// codeOf maps a kind of problem to an error code in the range for applications.
 func codeOf(kind problem.Kind) int64 {
 	const first = 1000
-	for i, k := range kinds {
+	for i, k := range codedKinds {
 		if k == kind {
 			return first + int64(i)
 		}
 	}
-	return first + int64(len(kinds))
+	return first + int64(len(codedKinds))
 }
 
-var kinds = []problem.Kind{
+var codedKinds = []problem.Kind{
 	problem.Invalid, problem.Conflict, problem.Unavailable, problem.Unknown, problem.NotFound,
 	problem.Denied, problem.Overloaded, problem.Deadline, problem.Internal,
 }
--- a/service/peers/silence_test.go
+++ b/service/peers/silence_test.go
@@ -16,10 +16,10 @@
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
 )
 
-// holding answers calls when the test ends.
-type holding struct{ end chan struct{} }
+// blockingHandler answers calls when end is closed.
+type blockingHandler struct{ end chan struct{} }
 
-func (h holding) Answer(ctx context.Context, _ string, _ json.RawMessage) (any, error) {
+func (h blockingHandler) Answer(ctx context.Context, _ string, _ json.RawMessage) (any, error) {
 	select {
 	case <-h.end:
 	case <-ctx.Done():
@@ -27,15 +27,15 @@
 	return struct{}{}, nil
 }
 
-// cutProxy passes bytes on in both directions until it is cut; then it takes none, and closes
-// nothing.
-type cutProxy struct {
-	listener net.Listener
-	target   string
-	cut      atomic.Bool
+// partitionProxy forwards bytes in both directions. Once partitioned, it stops reading but closes
+// no connection.
+type partitionProxy struct {
+	listener    net.Listener
+	target      string
+	partitioned atomic.Bool
 }
 
-func (p *cutProxy) serve() {
+func (p *partitionProxy) serve() {
 	for {
 		from, err := p.listener.Accept()
 		if err != nil {
@@ -46,15 +46,15 @@
 			_ = from.Close()
 			continue
 		}
-		go p.pass(from, to)
-		go p.pass(to, from)
+		go p.forward(from, to)
+		go p.forward(to, from)
 	}
 }
 
-func (p *cutProxy) pass(from, to net.Conn) {
+func (p *partitionProxy) forward(from, to net.Conn) {
 	buffer := make([]byte, 4096)
 	for {
-		for p.cut.Load() {
+		for p.partitioned.Load() {
 			time.Sleep(time.Millisecond)
 		}
 		n, err := from.Read(buffer)
@@ -62,7 +62,7 @@
 			_ = to.Close()
 			return
 		}
-		for p.cut.Load() {
+		for p.partitioned.Load() {
 			time.Sleep(time.Millisecond)
 		}
 		if _, err := io.Copy(to, strings.NewReader(string(buffer[:n]))); err != nil {
@@ -71,9 +71,9 @@
 	}
 }
 
-var _ = Describe("a connection to a peer that is cut off", func() {
-	It("ends its calls though so much was under way that nothing more can be written", func() {
-		handler := holding{make(chan struct{})}
+var _ = Describe("a connection to a partitioned peer", func() {
+	It("fails pending calls even if its send buffer is full", func() {
+		handler := blockingHandler{make(chan struct{})}
 		backend, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		front, err := net.Listen("tcp", "127.0.0.1:0")
@@ -81,11 +81,11 @@
 		const token = "peers-token"
 		server := peers.NewServer(handler, token, nil, logging.Discard().For("peers"))
 		go server.Serve(backend)
-		proxy := &cutProxy{listener: front, target: backend.Addr().String()}
+		proxy := &partitionProxy{listener: front, target: backend.Addr().String()}
 		go proxy.serve()
 		client := peers.NewClient("i1", token, nil)
 		DeferCleanup(func() {
-			proxy.cut.Store(false)
+			proxy.partitioned.Store(false)
 			close(handler.end)
 			client.Close()
 			server.Close()
@@ -103,7 +103,7 @@
 		}
 		call(1)
 		Consistently(ended).WithTimeout(200 * time.Millisecond).ShouldNot(Receive())
-		proxy.cut.Store(true)
+		proxy.partitioned.Store(true)
 		for range calls {
 			call(1 << 20)
 		}
--- a/service/peers/usage.go
+++ b/service/peers/usage.go
@@ -8,48 +8,47 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Direction tells the two ways of the bytes that come from peers.
+// Direction is the direction of the calls whose messages are counted.
 type Direction string
 
-// What peers ask of this instance, and what they answer it.
+// Parameters of calls received from peers, and results of calls made to peers.
 const (
 	Questions Direction = "questions"
 	Answers   Direction = "answers"
 )
 
-// kind is what bytes are counted by.
-type kind struct {
+// usageKey is the key of a counter.
+type usageKey struct {
 	method    string
 	direction Direction
 }
 
-// Usage counts the bytes that come from peers, by method: what control costs on the links of a large
-// fleet is seen nowhere else. Safe for concurrent use.
+// Usage counts the bytes received from peers by method. Safe for concurrent use.
 type Usage struct {
 	set    *metrics.Set
 	counts sync.Map // of kind to *usageCount
 }
 
-// usageCount is what came of one kind.
+// usageCount counts the messages of one kind.
 type usageCount struct {
 	bytes *metrics.Counter
 	calls atomic.Int64
 }
 
-// NewUsage returns a usage without bytes, whose counters are made in set.
+// NewUsage returns an empty usage whose counters are registered in set.
 func NewUsage(set *metrics.Set) *Usage { return &Usage{set: set} }
 
-// add counts one message of a method; nothing if u is nil.
+// add counts one message of a method. It does nothing if u is nil.
 func (u *Usage) add(method string, direction Direction, bytes int) {
 	if u == nil {
 		return
 	}
-	count := u.count(kind{method, direction})
+	count := u.count(usageKey{method, direction})
 	count.bytes.Add(bytes)
 	count.calls.Add(1)
 }
 
-func (u *Usage) count(k kind) *usageCount {
+func (u *Usage) count(k usageKey) *usageCount {
 	if count, known := u.counts.Load(k); known {
 		return count.(*usageCount)
 	}
@@ -58,11 +57,11 @@
 	return count.(*usageCount)
 }
 
-// Each calls do with the bytes and messages of each method and direction so far, in no order.
+// Each calls do with the bytes and messages of each method and direction, in no particular order.
 func (u *Usage) Each(do func(method string, direction Direction, bytes, calls int64)) {
 	u.counts.Range(func(k, v any) bool {
 		count := v.(*usageCount)
-		do(k.(kind).method, k.(kind).direction, int64(count.bytes.Get()), count.calls.Load())
+		do(k.(usageKey).method, k.(usageKey).direction, int64(count.bytes.Get()), count.calls.Load())
 		return true
 	})
 }
--- a/service/peers/usage_test.go
+++ b/service/peers/usage_test.go
@@ -14,15 +14,15 @@
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
 )
 
-// echo answers with what it was asked.
+// echo answers with the parameters.
 type echo struct{}
 
 func (echo) Answer(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	return params, nil
 }
 
-var _ = Describe("the usage of links", func() {
-	It("is counted by method, questions where they come and answers where those do", func() {
+var _ = Describe("the usage of peer connections", func() {
+	It("is counted by method, for questions at the server and for answers at the client", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		set := metrics.NewSet()
