--- a/service/peers/server.go
+++ b/service/peers/server.go
@@ -171,7 +171,7 @@
 	if req.Params != nil {
 		raw = *req.Params
 	}
-	s.server.usage.add(req.Method, Questions, len(raw))
+	s.server.usage.add(req.Method, Requests, len(raw))
 	result, err := s.server.handler.Answer(ctx, req.Method, raw)
 	if req.Notif {
 		return
--- a/service/peers/usage_test.go
+++ b/service/peers/usage_test.go
@@ -51,7 +51,7 @@
 			})
 			return list
 		}
-		Expect(rows(asked)).To(ConsistOf(row{"some.method", peers.Questions, 30, 3}))
+		Expect(rows(asked)).To(ConsistOf(row{"some.method", peers.Requests, 30, 3}))
 		Expect(rows(answered)).To(ConsistOf(row{"some.method", peers.Answers, 30, 3}))
 		var text bytes.Buffer
 		set.WritePrometheus(&text)
