--- a/service/peers/client.go
+++ b/service/peers/client.go
@@ -112,7 +112,7 @@
 	if err := rpc.Call(ctx, method, params, &answer); err != nil {
 		return problem.Wrap(err, problem.Unknown, "retry the call", "peer %s: call of %s failed", address, method)
 	}
-	c.usage.add(method, Answers, len(answer))
+	c.usage.add(method, Responses, len(answer))
 	if err := json.Unmarshal(answer, result); err != nil {
 		return problem.Wrap(err, problem.Unknown, "run the same version on all instances", "invalid answer from peer %s to %s", address, method)
 	}
--- a/service/peers/usage.go
+++ b/service/peers/usage.go
@@ -13,8 +13,8 @@
 
 // Parameters of calls received from peers, and results of calls made to peers.
 const (
-	Requests Direction = "questions"
-	Answers  Direction = "answers"
+	Requests  Direction = "questions"
+	Responses Direction = "answers"
 )
 
 // usageKey is the key of a counter.
--- a/service/peers/usage_test.go
+++ b/service/peers/usage_test.go
@@ -52,7 +52,7 @@
 			return list
 		}
 		Expect(rows(asked)).To(ConsistOf(row{"some.method", peers.Requests, 30, 3}))
-		Expect(rows(answered)).To(ConsistOf(row{"some.method", peers.Answers, 30, 3}))
+		Expect(rows(answered)).To(ConsistOf(row{"some.method", peers.Responses, 30, 3}))
 		var text bytes.Buffer
 		set.WritePrometheus(&text)
 		Expect(text.String()).To(ContainSubstring(`cobaltcroft_peer_bytes_total{method="some.method",direction="questions"} 30`))
