--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -179,7 +179,7 @@
 		outcome, err := r.handOver(ctx, address, part, plan, false)
 		if err != nil {
 			excluded[address] = true
-			unresponsive += choose(peers.Answered(err), 0, 1)
+			unresponsive += choose(peers.IsPeerError(err), 0, 1)
 			plan.Made = outcome.Made
 			continue
 		}
@@ -310,10 +310,10 @@
 		return pipeline.Outcome{Reason: batch.Late}, nil
 	}
 	if err != nil {
-		if !peers.Answered(err) {
+		if !peers.IsPeerError(err) {
 			r.owners.suspect(address)
 		}
-		r.log.WithFields(logrus.Fields{"event": "owner_silent", "id": plan.Request, "owner": address, "answered": peers.Answered(err)}).Warn(err)
+		r.log.WithFields(logrus.Fields{"event": "owner_silent", "id": plan.Request, "owner": address, "answered": peers.IsPeerError(err)}).Warn(err)
 		return pipeline.Outcome{Made: made}, err
 	}
 	r.owners.clearSuspicion(address)
--- a/service/handover/transfer.go
+++ b/service/handover/transfer.go
@@ -82,7 +82,7 @@
 	err := r.client.Call(ctx, claim.Owner.PeerAddress, api.MethodTake, api.Take{Claim: claim, Ledger: ledger}, &struct{}{})
 	fields := logrus.Fields{"event": "part_given", "part": claim.Part.Number, "term": claim.Term, "to": claim.Owner.Name, "endpoints": len(ledger.Pieces.Endpoints)}
 	if err != nil {
-		if !peers.Answered(err) {
+		if !peers.IsPeerError(err) {
 			r.owners.suspect(claim.Owner.PeerAddress)
 		}
 		r.log.WithFields(fields).Warn(err)
--- a/service/peers/client.go
+++ b/service/peers/client.go
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// Answered reports whether the peer itself returned the error, as opposed to a transport failure.
-func Answered(err error) bool {
+// IsPeerError reports whether the peer itself returned the error, as opposed to a transport failure.
+func IsPeerError(err error) bool {
 	var refusal *jsonrpc2.Error
 	return errors.As(err, &refusal)
 }
