--- a/cmd/cobaltcroftd/daemon/faces.go
+++ b/cmd/cobaltcroftd/daemon/faces.go
@@ -251,7 +251,7 @@
 		Reached:   trafficService.config.follower.Reached,
 		OwnStatus: trafficService.Status,
 		Select: func(selection api.TimelineSelect) api.TimelineEvents {
-			return peers.Select(b.ring, b.settings.Instance, selection)
+			return peers.SelectEvents(b.ring, b.settings.Instance, selection)
 		},
 		Peers: peersService.client,
 		Clock: b.clock,
--- a/service/peers/server.go
+++ b/service/peers/server.go
@@ -210,7 +210,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return Select(h.Backend.Ring(), h.Backend.Status().Instance, selection), nil
+		return SelectEvents(h.Backend.Ring(), h.Backend.Status().Instance, selection), nil
 	}
 	return nil, UnknownMethod(method)
 }
@@ -229,8 +229,8 @@
 	return convert.Result(h.Backend.Bound(ctx, holder, r))
 }
 
-// Select returns the events of one instance that match a selection.
-func Select(ring *timeline.Ring, instance string, selection api.TimelineSelect) api.TimelineEvents {
+// SelectEvents returns the events of one instance that match a selection.
+func SelectEvents(ring *timeline.Ring, instance string, selection api.TimelineSelect) api.TimelineEvents {
 	events, dropped := ring.Select(timeline.Filter{Request: selection.Request, Change: selection.Change, Endpoint: selection.Endpoint})
 	limit := selection.Limit
 	if limit <= 0 || limit > maxEvents {
