--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -63,7 +63,7 @@
 func (h *Handler) Answer(ctx context.Context, method string, raw json.RawMessage) (any, error) {
 	switch method {
 	case api.MethodRun:
-		call, err := peers.Params[api.Run](method, raw)
+		call, err := peers.DecodeParams[api.Run](method, raw)
 		if err != nil {
 			return nil, err
 		}
@@ -72,41 +72,41 @@
 		}
 		return h.run(ctx, call)
 	case api.MethodProgress:
-		call, err := peers.Params[api.Progress](method, raw)
+		call, err := peers.DecodeParams[api.Progress](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		results := withExpiryTimes([][]batch.Result{call.Results}, h.clock.Now())[0]
 		return struct{}{}, h.router.progress.stageCompleted(call.Call, call.Stage, results)
 	case api.MethodTake:
-		call, err := peers.Params[api.Take](method, raw)
+		call, err := peers.DecodeParams[api.Take](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		return struct{}{}, h.router.accept(call)
 	case api.MethodCancel:
-		call, err := peers.Params[api.Cancel](method, raw)
+		call, err := peers.DecodeParams[api.Cancel](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		h.cancel(call.Call)
 		return struct{}{}, nil
 	case api.MethodFree:
-		call, err := peers.Params[api.Free](method, raw)
+		call, err := peers.DecodeParams[api.Free](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		h.results.Free(call.Results)
 		return struct{}{}, nil
 	case api.MethodReaderFailed:
-		call, err := peers.Params[api.ReaderFailed](method, raw)
+		call, err := peers.DecodeParams[api.ReaderFailed](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		h.planner.ReaderFailed(call.Endpoint)
 		return struct{}{}, nil
 	case api.MethodFollow:
-		call, err := peers.Params[api.RelaySelect](method, raw)
+		call, err := peers.DecodeParams[api.RelaySelect](method, raw)
 		if err != nil {
 			return nil, err
 		}
@@ -114,25 +114,25 @@
 		told := h.follower.Relay(discovery.RelaySelect{Since: call.Since, Document: call.Document, Evacuations: call.Evacuations, Rollouts: call.Rollouts, Wait: wait})
 		return h.packer.changes(call.Since, told, call.Packs), nil
 	case api.MethodPiece:
-		call, err := peers.Params[discovery.PieceSelect](method, raw)
+		call, err := peers.DecodeParams[discovery.PieceSelect](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		return h.follower.Piece(call)
 	case api.MethodRollout:
-		call, err := peers.Params[rollout.Report](method, raw)
+		call, err := peers.DecodeParams[rollout.Report](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		return h.rollouts.Answer(call), nil
 	case api.MethodPermits:
-		call, err := peers.Params[throttle.Ask](method, raw)
+		call, err := peers.DecodeParams[throttle.Ask](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		return h.permits.Answer(call), nil
 	case api.MethodState:
-		call, err := peers.Params[api.StateSelect](method, raw)
+		call, err := peers.DecodeParams[api.StateSelect](method, raw)
 		if err != nil {
 			return nil, err
 		}
--- a/service/handover/instance_test.go
+++ b/service/handover/instance_test.go
@@ -472,7 +472,7 @@
 	if method != api.MethodRun {
 		return a.Handler.Answer(ctx, method, raw)
 	}
-	call, err := peers.Params[api.Run](method, raw)
+	call, err := peers.DecodeParams[api.Run](method, raw)
 	if err != nil {
 		return nil, err
 	}
--- a/service/peers/server.go
+++ b/service/peers/server.go
@@ -149,7 +149,7 @@
 	if req.Params != nil {
 		raw = *req.Params
 	}
-	hello, err := Params[api.Hello](req.Method, raw)
+	hello, err := DecodeParams[api.Hello](req.Method, raw)
 	if err != nil || subtle.ConstantTimeCompare([]byte(hello.Token), []byte(s.server.token)) != 1 {
 		s.refuse(ctx, rpc, req)
 		return
@@ -192,13 +192,13 @@
 func (h InstanceHandler) Answer(ctx context.Context, method string, raw json.RawMessage) (any, error) {
 	switch method {
 	case api.MethodPull:
-		pull, err := Params[api.Pull](method, raw)
+		pull, err := DecodeParams[api.Pull](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		return h.Backend.Since(pull.From)
 	case api.MethodForward:
-		forward, err := Params[api.Forward](method, raw)
+		forward, err := DecodeParams[api.Forward](method, raw)
 		if err != nil {
 			return nil, err
 		}
@@ -206,7 +206,7 @@
 	case api.MethodStatus:
 		return h.Backend.Status(), nil
 	case api.MethodTimeline:
-		selection, err := Params[api.TimelineSelect](method, raw)
+		selection, err := DecodeParams[api.TimelineSelect](method, raw)
 		if err != nil {
 			return nil, err
 		}
@@ -244,8 +244,8 @@
 	return answer
 }
 
-// Params decodes the parameters of a method.
-func Params[T any](method string, raw json.RawMessage) (T, error) {
+// DecodeParams decodes the parameters of a method.
+func DecodeParams[T any](method string, raw json.RawMessage) (T, error) {
 	var v T
 	if len(raw) == 0 {
 		return v, problem.New(problem.Invalid, "run the same version on all instances", "method %s: missing parameters", method)
