--- a/pkg/ownership/division_test.go
+++ b/pkg/ownership/division_test.go
@@ -11,8 +11,8 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/ownership"
 )
 
-// settled is longer than endpoints ask for another division until it is made.
-const settled = 31 * time.Second
+// afterDelay is longer than the time that endpoint counts must call for another division.
+const afterDelay = 31 * time.Second
 
 var _ = Describe("a divider", func() {
 	var (
@@ -25,8 +25,8 @@
 		now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	})
 
-	// looks has a divider look each second for a time, and returns how often it changed.
-	looks := func(d *ownership.Divider, endpoints int, lasts time.Duration) int {
+	// lookFor calls Look each second for the given time and returns the number of changes.
+	lookFor := func(d *ownership.Divider, endpoints int, lasts time.Duration) int {
 		changes := 0
 		for range int(lasts / time.Second) {
 			now = now.Add(time.Second)
@@ -37,7 +37,7 @@
 		return changes
 	}
 
-	It("makes parts of at least five endpoints at first, whose number seldom changes", func() {
+	It("starts with parts of at least five endpoints, in a few possible numbers", func() {
 		counts := map[int]int{}
 		for endpoints := range 100 {
 			parts := (&ownership.Divider{}).Parts(ownership.Supply{All: endpoints})
@@ -47,35 +47,35 @@
 		Expect(counts).To(HaveLen(5))
 	})
 
-	It("goes by what is agreed on, whatever the endpoints are", func() {
+	It("uses the agreed division for any number of endpoints", func() {
 		Expect(d.Look(now, ownership.Supply{All: 35})).To(BeTrue())
 		Expect(d.Agreed()).To(Equal(ownership.Division{Parts: 4, Term: 1}))
 		Expect(d.Parts(ownership.Supply{All: 100})).To(Equal(4))
 		Expect(d.Parts(ownership.Supply{All: 0})).To(Equal(4))
 	})
 
-	It("agrees on nothing while no endpoint is known", func() {
-		Expect(looks(d, 0, time.Minute)).To(BeZero())
+	It("makes no division while no endpoint is known", func() {
+		Expect(lookFor(d, 0, time.Minute)).To(BeZero())
 		Expect(d.Agreed()).To(Equal(ownership.Division{}))
 	})
 
-	It("stays while a third of the endpoints is replaced, however long that takes", func() {
+	It("keeps the division during a rolling update of a third of the endpoints", func() {
 		d.Look(now, ownership.Supply{All: 35})
 		for range 5 {
-			Expect(looks(d, 42, time.Minute)).To(BeZero())
-			Expect(looks(d, 47, time.Minute)).To(BeZero())
-			Expect(looks(d, 28, time.Minute)).To(BeZero())
+			Expect(lookFor(d, 42, time.Minute)).To(BeZero())
+			Expect(lookFor(d, 47, time.Minute)).To(BeZero())
+			Expect(lookFor(d, 28, time.Minute)).To(BeZero())
 		}
 	})
 
-	It("changes once when the endpoints have asked for it for a while, and back", func() {
+	It("changes once after the counts have called for it for a while, and back", func() {
 		d.Look(now, ownership.Supply{All: 35})
-		Expect(looks(d, 80, 29*time.Second)).To(BeZero())
-		Expect(looks(d, 35, 2*time.Second)).To(BeZero())
-		Expect(looks(d, 80, 29*time.Second)).To(BeZero(), "it begins anew")
-		Expect(looks(d, 80, time.Minute)).To(Equal(1))
+		Expect(lookFor(d, 80, 29*time.Second)).To(BeZero())
+		Expect(lookFor(d, 35, 2*time.Second)).To(BeZero())
+		Expect(lookFor(d, 80, 29*time.Second)).To(BeZero(), "the interval restarts")
+		Expect(lookFor(d, 80, time.Minute)).To(Equal(1))
 		Expect(d.Agreed()).To(Equal(ownership.Division{Parts: 16, Term: 2}))
-		Expect(looks(d, 35, time.Minute)).To(Equal(1))
+		Expect(lookFor(d, 35, time.Minute)).To(Equal(1))
 		Expect(d.Agreed()).To(Equal(ownership.Division{Parts: 4, Term: 3}))
 	})
 
@@ -88,25 +88,25 @@
 		Expect(d.Parts(ownership.Supply{All: 35})).To(Equal(2))
 	})
 
-	DescribeTable("ignores divisions that say nothing, or would use the terms up",
+	DescribeTable("ignores invalid divisions and implausible terms",
 		func(heard ownership.Division) {
 			Expect(d.Hear(heard)).To(BeFalse())
 			Expect(d.Agreed()).To(Equal(ownership.Division{}))
 		},
-		Entry("not agreed on", ownership.Division{Parts: 4}),
+		Entry("no term", ownership.Division{Parts: 4}),
 		Entry("no parts", ownership.Division{Term: 1}),
-		Entry("absurdly many", ownership.Division{Parts: 1 << 20, Term: 1}),
+		Entry("too many parts", ownership.Division{Parts: 1 << 20, Term: 1}),
 		Entry("a term out of reach", ownership.Division{Parts: 4, Term: math.MaxUint64}),
 	)
 
-	It("is the same everywhere after any sights, messages and restarts", func() {
-		rapid.Check(GinkgoT(), playDividers)
+	It("converges after any sequence of counts, messages and restarts", func() {
+		rapid.Check(GinkgoT(), checkDividers)
 	})
 })
 
-// playDividers has instances look at endpoints that each sees in its own way, hear each other and
-// start anew; no term goes back within a life, and when all have told each other all agree.
-func playDividers(t *rapid.T) {
+// checkDividers runs random histories of counts, messages and restarts. Terms must not decrease
+// within an incarnation, and all instances must agree after a full exchange.
+func checkDividers(t *rapid.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	dividers := make([]*ownership.Divider, rapid.IntRange(2, 5).Draw(t, "instances"))
 	terms := make([]uint64, len(dividers))
@@ -116,7 +116,7 @@
 	one := func(t *rapid.T) int { return rapid.IntRange(0, len(dividers)-1).Draw(t, "instance") }
 	t.Repeat(map[string]func(*rapid.T){
 		"look": func(t *rapid.T) {
-			now = now.Add(settled / 2)
+			now = now.Add(afterDelay / 2)
 			dividers[one(t)].Look(now, ownership.Supply{All: rapid.IntRange(0, 200).Draw(t, "endpoints")})
 		},
 		"tell": func(t *rapid.T) { dividers[one(t)].Hear(dividers[one(t)].Agreed()) },
--- a/pkg/ownership/regions.go
+++ b/pkg/ownership/regions.go
@@ -5,35 +5,35 @@
 	"slices"
 )
 
-// Regions has the region of each failure domain. Between regions a call takes many times as long as inside one, and
-// each stage of a request is called, and reads what the stage before has made: so where there are several regions with
-// endpoints enough, each has parts of its own. Parts are cut by region if their number is a multiple of the
-// regions' number, and then part n is of region n modulo that, in the order of names: all instances know so alike.
-// The zero value has none. It is immutable.
+// Regions maps failure domains to regions. Calls between regions are much slower than inside one,
+// so if several regions have enough endpoints, each has its own parts. Parts are assigned to
+// regions if their number is a multiple of the number of regions; part n then belongs to region n
+// modulo that number, in the order of names. Immutable; the zero value has no regions.
 type Regions struct {
-	of map[string]string
-	// names are the regions, sorted.
+	byDomain map[string]string
+	// names has the sorted regions.
 	names []string
 }
 
-// NewRegions returns the regions of failure domains. The map must not be changed afterwards.
-func NewRegions(of map[string]string) Regions {
-	return Regions{of: of, names: slices.Compact(slices.Sorted(maps.Values(of)))}
+// NewRegions returns the regions for a map from failure domains to regions. The map must not be
+// changed afterwards.
+func NewRegions(byDomain map[string]string) Regions {
+	return Regions{byDomain: byDomain, names: slices.Compact(slices.Sorted(maps.Values(byDomain)))}
 }
 
-// In is the region of a failure domain; empty if it is not known.
-func (r Regions) In(domain string) string { return r.of[domain] }
+// In returns the region of a failure domain; empty if it is unknown.
+func (r Regions) In(domain string) string { return r.byDomain[domain] }
 
-// Names are the regions, sorted. They must not be changed.
+// Names returns the sorted regions. The slice must not be changed.
 func (r Regions) Names() []string { return r.names }
 
-// Cut tells whether so many parts are cut by region.
+// Cut reports whether the given number of parts is assigned to regions.
 func (r Regions) Cut(parts int) bool {
 	n := len(r.names)
 	return n > 1 && parts%n == 0
 }
 
-// Of is the region of a part; empty if parts are not cut by region.
+// Of returns the region of a part; empty if parts are not assigned to regions.
 func (r Regions) Of(part Part) string {
 	if !r.Cut(part.Of) {
 		return ""
@@ -41,7 +41,7 @@
 	return r.names[part.Number%len(r.names)]
 }
 
-// Part is the part of a region that a number falls to, of so many that are cut by region.
+// Part maps a number to one of a region's parts, in a division that is assigned to regions.
 func (r Regions) Part(region string, number uint64, parts int) Part {
 	at, found := slices.BinarySearch(r.names, region)
 	if !found {
@@ -50,17 +50,17 @@
 	return Part{Number: at + len(r.names)*int(number%uint64(r.Each(parts))), Of: parts}
 }
 
-// Each is how many parts a region has, of so many that are cut by region.
+// Each returns the number of parts per region, in a division that is assigned to regions.
 func (r Regions) Each(parts int) int { return parts / len(r.names) }
 
-// Supply is how many endpoints the least service has that takes pieces: of all, and of each region's.
+// Supply has the endpoint count of the smallest service that takes pieces: in total, and by region.
 type Supply struct {
 	All     int
 	Regions map[string]int
 }
 
-// least is how many the region has that has the fewest; 0 if there is one region only.
-func (s Supply) least() int {
+// smallestRegion returns the count of the smallest region, or 0 if there are fewer than two regions.
+func (s Supply) smallestRegion() int {
 	if len(s.Regions) < 2 {
 		return 0
 	}
--- a/pkg/ownership/regions_test.go
+++ b/pkg/ownership/regions_test.go
@@ -9,13 +9,13 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/ownership"
 )
 
-var _ = Describe("parts by region", func() {
+var _ = Describe("parts assigned to regions", func() {
 	regions := ownership.NewRegions(map[string]string{"a1": "north", "a2": "north", "b1": "south", "c1": "west"})
 	supply := func(all, north, south, west int) ownership.Supply {
 		return ownership.Supply{All: all, Regions: map[string]int{"north": north, "south": south, "west": west}}
 	}
 
-	It("are known alike from their number alone", func() {
+	It("are determined by their number", func() {
 		Expect(regions.Cut(3)).To(BeTrue())
 		Expect(regions.Cut(6)).To(BeTrue())
 		Expect(regions.Cut(4)).To(BeFalse())
@@ -25,7 +25,7 @@
 		Expect(regions.Of(ownership.Part{Number: 1, Of: 2})).To(BeEmpty())
 	})
 
-	It("each have all numbers of their region", func() {
+	It("cover all numbers of their region", func() {
 		seen := map[ownership.Part]bool{}
 		for number := range uint64(20) {
 			part := regions.Part("west", number, 6)
@@ -35,7 +35,7 @@
 		Expect(seen).To(HaveLen(2))
 	})
 
-	DescribeTable("are made where each region has endpoints enough",
+	DescribeTable("are used if each region has enough endpoints",
 		func(s ownership.Supply, parts int) {
 			Expect((&ownership.Divider{}).Parts(s)).To(Equal(parts))
 		},
@@ -43,12 +43,12 @@
 		Entry("enough for two each", supply(40, 12, 14, 14), 6),
 		Entry("one has too few", supply(15, 7, 6, 2), 2),
 		Entry("one has none", supply(12, 6, 6, 0), 2),
-		Entry("two regions, one with too few: their number would say that they are cut by region",
+		Entry("two regions, one with too few: two parts would be assigned to regions",
 			ownership.Supply{All: 14, Regions: map[string]int{"north": 12, "south": 2}}, 1),
 		Entry("one region", ownership.Supply{All: 40, Regions: map[string]int{"north": 40}}, 8),
 	)
 
-	It("stay while a region lacks some endpoints for a while, and go when it has far too few", func() {
+	It("are kept while a region lacks a few endpoints, and dropped when it has far too few", func() {
 		var d ownership.Divider
 		now := time.Now()
 		Expect(d.Look(now, supply(15, 5, 5, 5))).To(BeTrue())
--- a/pkg/ownership/table_test.go
+++ b/pkg/ownership/table_test.go
@@ -22,10 +22,10 @@
 	return ownership.Owner{Name: fmt.Sprint("i", n), Incarnation: incarnation, PeerAddress: fmt.Sprint("a", n)}
 }
 
-// never stays with no owner.
+// never prefers no owner.
 func never(ownership.Owner, ownership.Owner) bool { return false }
 
-// always stays with every owner.
+// always prefers every owner.
 func always(ownership.Owner, ownership.Owner) bool { return true }
 
 var part = ownership.Part{Number: 0, Of: 1}
@@ -44,69 +44,69 @@
 		Expect(t.Own()).To(Equal([]ownership.Claim{own}))
 	})
 
-	It("does not take a claim of its own earlier life for its own", func() {
+	It("does not own a part claimed by an earlier incarnation", func() {
 		t := ownership.NewTable(owner(1, 2))
 		t.Hear([]ownership.Claim{{Part: part, Term: 5, Owner: owner(1, 1)}}, never)
 		Expect(t.Owns(part)).To(BeFalse())
 		Expect(t.Claim(part).Term).To(Equal(uint64(6)))
 	})
 
-	It("chooses among claims of one term, another for each part", func() {
+	It("resolves claims of one term differently for each part", func() {
 		const parts = 16
 		owns := map[string]int{}
 		for number := range parts {
-			forth, back := ownership.NewTable(owner(9, 1)), ownership.NewTable(owner(9, 1))
+			ascending, descending := ownership.NewTable(owner(9, 1)), ownership.NewTable(owner(9, 1))
 			var claims []ownership.Claim
 			for n := range 3 {
 				claims = append(claims, ownership.Claim{Part: ownership.Part{Number: number, Of: parts}, Term: 1, Owner: owner(n, 1)})
 			}
-			forth.Hear(claims, never)
+			ascending.Hear(claims, never)
 			slices.Reverse(claims)
-			back.Hear(claims, never)
-			holder, _ := forth.Holder(claims[0].Part)
-			same, _ := back.Holder(claims[0].Part)
+			descending.Hear(claims, never)
+			holder, _ := ascending.Holder(claims[0].Part)
+			same, _ := descending.Holder(claims[0].Part)
 			Expect(same).To(Equal(holder))
 			owns[holder.Owner.Name]++
 		}
 		Expect(owns).To(HaveLen(3))
 	})
 
-	Describe("that hears a provisional claim of a later term", func() {
+	Describe("that receives a provisional claim of a later term", func() {
 		var t *ownership.Table
-		certain := ownership.Claim{Part: part, Term: 1, Owner: owner(2, 1)}
+		confirmed := ownership.Claim{Part: part, Term: 1, Owner: owner(2, 1)}
 		provisional := ownership.Claim{Part: part, Term: 9, Owner: owner(3, 1), Provisional: true}
 
 		BeforeEach(func() {
 			t = ownership.NewTable(owner(1, 1))
-			t.Hear([]ownership.Claim{certain}, never)
+			t.Hear([]ownership.Claim{confirmed}, never)
 		})
 
-		It("follows it where it does not stay with the owner, and knows who was displaced", func() {
+		It("accepts it if the owner is not preferred, and remembers the displaced claim", func() {
 			Expect(t.Hear([]ownership.Claim{provisional}, never)).To(HaveLen(1))
 			displaced, known := t.Displaced(part)
 			Expect(known).To(BeTrue())
-			Expect(displaced).To(Equal(certain))
-			By("hearing of who owns it now for the others")
+			Expect(displaced).To(Equal(confirmed))
+			By("receiving a later confirmed claim")
 			later := ownership.Claim{Part: part, Term: 3, Owner: owner(4, 1)}
 			Expect(t.Hear([]ownership.Claim{later}, never)).To(BeEmpty())
 			displaced, _ = t.Displaced(part)
 			Expect(displaced).To(Equal(later))
 		})
 
-		It("stays with the owner", func() {
+		It("ignores it if the owner is preferred", func() {
 			Expect(t.Hear([]ownership.Claim{provisional}, always)).To(BeEmpty())
 			holder, _ := t.Holder(part)
-			Expect(holder).To(Equal(certain))
+			Expect(holder).To(Equal(confirmed))
 		})
 
-		It("goes on if it is the owner itself", func() {
+		It("ignores it if it is the owner itself", func() {
 			own := t.Claim(part)
 			Expect(t.Hear([]ownership.Claim{provisional}, never)).To(BeEmpty())
 			holder, _ := t.Holder(part)
 			Expect(holder).To(Equal(own))
 		})
 
-		It("follows it once it is confirmed, also in the same term", func() {
+		It("accepts it once it is confirmed, also in the same term", func() {
 			confirmed := provisional
 			confirmed.Provisional = false
 			t.Hear([]ownership.Claim{provisional}, never)
@@ -116,7 +116,7 @@
 		})
 	})
 
-	It("keeps a part that it claimed provisionally provisional when it assigns it, but not back", func() {
+	It("assigns a provisional claim as provisional, except back to the displaced owner", func() {
 		t := ownership.NewTable(owner(1, 1))
 		t.Hear([]ownership.Claim{{Part: part, Term: 1, Owner: owner(2, 1)}}, never)
 		t.ClaimProvisionally(part)
@@ -124,7 +124,7 @@
 		Expect(t.Assign(part, owner(2, 1)).Provisional).To(BeFalse())
 	})
 
-	DescribeTable("ignores claims that say nothing, or would use the terms up",
+	DescribeTable("ignores invalid claims and implausible terms",
 		func(claim ownership.Claim) {
 			t := ownership.NewTable(owner(1, 1))
 			Expect(t.Hear([]ownership.Claim{claim}, never)).To(BeEmpty())
@@ -132,25 +132,25 @@
 			Expect(known).To(BeFalse())
 		},
 		Entry("no term", ownership.Claim{Part: part, Owner: owner(2, 1)}),
-		Entry("nobody's", ownership.Claim{Part: part, Term: 1}),
+		Entry("no owner", ownership.Claim{Part: part, Term: 1}),
 		Entry("no such part", ownership.Claim{Part: ownership.Part{Number: 1, Of: 1}, Term: 1, Owner: owner(2, 1)}),
 		Entry("a term out of reach", ownership.Claim{Part: part, Term: math.MaxUint64, Owner: owner(2, 1)}),
 	)
 
-	It("agrees on one owner after any messages, losses, restarts and cuts", func() {
-		rapid.Check(GinkgoT(), playOwners)
+	It("converges on one owner after any messages, losses, restarts and partitions", func() {
+		rapid.Check(GinkgoT(), checkOwners)
 	})
 })
 
-// group is some instances that tell each other their claims.
+// group is a set of instances that exchange claims.
 type group struct {
 	tables       []*ownership.Table
 	incarnations []uint64
-	// sent are the messages under way; they may be lost, doubled and reordered.
-	sent []message
-	// domains are the failure domains of the instances.
+	// inFlight has the messages in flight, which may be lost, duplicated and reordered.
+	inFlight []message
+	// domains has the failure domain of each instance.
 	domains []int
-	// terms are the greatest that each life has known.
+	// terms has the greatest term known to each incarnation.
 	terms []uint64
 }
 
@@ -159,9 +159,9 @@
 	claims []ownership.Claim
 }
 
-// playOwners plays a random history, then lets all messages through, and checks that no term
-// went back and that one owner is left.
-func playOwners(t *rapid.T) {
+// checkOwners runs a random history, then delivers all messages and checks that terms did not
+// decrease and that at most one owner is left.
+func checkOwners(t *rapid.T) {
 	g := &group{}
 	for n := range rapid.IntRange(2, 6).Draw(t, "instances") {
 		g.incarnations = append(g.incarnations, 1)
@@ -170,34 +170,34 @@
 		g.domains = append(g.domains, rapid.IntRange(0, 1).Draw(t, "domain"))
 	}
 	t.Repeat(map[string]func(*rapid.T){
-		"claim":               func(t *rapid.T) { g.tables[g.any(t)].Claim(part) },
-		"claim provisionally": func(t *rapid.T) { g.tables[g.any(t)].ClaimProvisionally(part) },
-		"confirm":             func(t *rapid.T) { g.tables[g.any(t)].Confirm(part) },
+		"claim":               func(t *rapid.T) { g.tables[g.anyInstance(t)].Claim(part) },
+		"claim provisionally": func(t *rapid.T) { g.tables[g.anyInstance(t)].ClaimProvisionally(part) },
+		"confirm":             func(t *rapid.T) { g.tables[g.anyInstance(t)].Confirm(part) },
 		"assign": func(t *rapid.T) {
-			from, to := g.any(t), g.any(t)
+			from, to := g.anyInstance(t), g.anyInstance(t)
 			claim := g.tables[from].Assign(part, owner(to, g.incarnations[to]))
-			g.sent = append(g.sent, message{to, []ownership.Claim{claim}})
+			g.inFlight = append(g.inFlight, message{to, []ownership.Claim{claim}})
 		},
-		"tell": func(t *rapid.T) { g.tell(g.any(t), g.any(t)) },
+		"tell": func(t *rapid.T) { g.send(g.anyInstance(t), g.anyInstance(t)) },
 		"restart": func(t *rapid.T) {
-			n := g.any(t)
+			n := g.anyInstance(t)
 			g.incarnations[n]++
 			g.tables[n] = ownership.NewTable(owner(n, g.incarnations[n]))
 			g.terms[n] = 0
 		},
-		"arrive": func(t *rapid.T) { g.arrive(t, true) },
-		"double": func(t *rapid.T) { g.arrive(t, false) },
+		"arrive": func(t *rapid.T) { g.deliverAny(t, true) },
+		"double": func(t *rapid.T) { g.deliverAny(t, false) },
 		"lose": func(_ *rapid.T) {
-			if len(g.sent) > 0 {
-				g.sent = slices.Delete(g.sent, 0, 1)
+			if len(g.inFlight) > 0 {
+				g.inFlight = slices.Delete(g.inFlight, 0, 1)
 			}
 		},
-		"": func(t *rapid.T) { g.noTermWentBack(t) },
+		"": func(t *rapid.T) { g.checkTerms(t) },
 	})
-	g.heal()
+	g.exchangeAll()
 	g.settle(t)
-	g.heal()
-	g.noTermWentBack(t)
+	g.exchangeAll()
+	g.checkTerms(t)
 	holder, known := g.tables[0].Holder(part)
 	owners := 0
 	for _, table := range g.tables {
@@ -214,45 +214,45 @@
 	}
 }
 
-func (g *group) any(t *rapid.T) int { return rapid.IntRange(0, len(g.tables)-1).Draw(t, "instance") }
+func (g *group) anyInstance(t *rapid.T) int {
+	return rapid.IntRange(0, len(g.tables)-1).Draw(t, "instance")
+}
 
-// tell sends what one instance knows to another.
-func (g *group) tell(from, to int) {
+// send sends an instance's claim to another.
+func (g *group) send(from, to int) {
 	if claim, known := g.tables[from].Holder(part); known {
-		g.sent = append(g.sent, message{to, []ownership.Claim{claim}})
+		g.inFlight = append(g.inFlight, message{to, []ownership.Claim{claim}})
 	}
 }
 
-func (g *group) arrive(t *rapid.T, remove bool) {
-	if len(g.sent) == 0 {
+func (g *group) deliverAny(t *rapid.T, remove bool) {
+	if len(g.inFlight) == 0 {
 		return
 	}
-	n := rapid.IntRange(0, len(g.sent)-1).Draw(t, "message")
-	g.hear(g.sent[n])
+	n := rapid.IntRange(0, len(g.inFlight)-1).Draw(t, "message")
+	g.deliver(g.inFlight[n])
 	if remove {
-		g.sent = slices.Delete(g.sent, n, n+1)
+		g.inFlight = slices.Delete(g.inFlight, n, n+1)
 	}
 }
 
-// heal has all tell each other what they know, twice: whatever is known anywhere is known
-// everywhere then.
-func (g *group) heal() {
-	g.sent = nil
+// exchangeAll exchanges all claims twice, so that every claim is known everywhere.
+func (g *group) exchangeAll() {
+	g.inFlight = nil
 	for range 2 {
 		for from := range g.tables {
 			for to := range g.tables {
-				g.tell(from, to)
+				g.send(from, to)
 			}
 		}
-		for _, m := range g.sent {
-			g.hear(m)
+		for _, m := range g.inFlight {
+			g.deliver(m)
 		}
 	}
 }
 
-// hear has an instance take a message in. It stays with an owner when the claimer is of another failure
-// domain.
-func (g *group) hear(m message) {
+// deliver delivers a message. The receiver prefers its owner over claimers of other failure domains.
+func (g *group) deliver(m message) {
 	g.tables[m.to].Hear(m.claims, func(_, claimer ownership.Owner) bool {
 		var n int
 		_, err := fmt.Sscanf(claimer.Name, "i%d", &n)
@@ -260,26 +260,26 @@
 	})
 }
 
-// settle has instances settle provisional claims, one after the other, as long as there are any.
+// settle resolves provisional claims one at a time until there are none.
 func (g *group) settle(t *rapid.T) {
 	for range 4 * len(g.tables) {
 		settled := true
 		for n := range g.tables {
 			if g.settleOne(t, n) {
 				settled = false
-				g.heal()
+				g.exchangeAll()
 			}
 		}
 		if settled {
 			return
 		}
 	}
-	t.Fatalf("provisional claims go on and on")
+	t.Fatalf("provisional claims do not settle")
 }
 
-// settleOne has an instance settle a provisional claim, and tells whether there was one that it could: the
-// owner gives the part back to the one that is displaced, or confirms its claim if none is known. A claim
-// whose owner has ended is followed by one of the instance's own.
+// settleOne resolves a provisional claim of one instance and reports whether it did. The owner
+// gives the part back to the displaced owner, or confirms its claim if that one has failed. A claim
+// whose owner has failed is replaced first.
 func (g *group) settleOne(t *rapid.T, n int) bool {
 	table := g.tables[n]
 	claim, _ := table.Holder(part)
@@ -287,13 +287,13 @@
 		return false
 	}
 	if !table.Owns(part) {
-		if g.lives(claim.Owner) {
+		if g.isCurrent(claim.Owner) {
 			return false
 		}
 		claim = table.ClaimProvisionally(part)
 	}
 	displaced, known := table.Displaced(part)
-	if !known || !g.lives(displaced.Owner) {
+	if !known || !g.isCurrent(displaced.Owner) {
 		table.Confirm(part)
 		return true
 	}
@@ -306,8 +306,8 @@
 	return true
 }
 
-// lives tells whether an owner's life goes on.
-func (g *group) lives(owner ownership.Owner) bool {
+// isCurrent reports whether an owner's incarnation is current.
+func (g *group) isCurrent(owner ownership.Owner) bool {
 	for n, table := range g.tables {
 		if table.Self() == owner {
 			return g.incarnations[n] == owner.Incarnation
@@ -316,7 +316,7 @@
 	return false
 }
 
-func (g *group) noTermWentBack(t *rapid.T) {
+func (g *group) checkTerms(t *rapid.T) {
 	for n, table := range g.tables {
 		claim, _ := table.Holder(part)
 		if claim.Term < g.terms[n] {
