--- a/pkg/ownership/table.go
+++ b/pkg/ownership/table.go
@@ -38,10 +38,10 @@
 	Provisional bool `json:"provisional,omitempty"`
 }
 
-// Beats reports whether a claim takes precedence over another claim of the same part. Claims of the
+// Supersedes reports whether a claim takes precedence over another claim of the same part. Claims of the
 // same term come from instances that did not reach each other; the order is the same at all
 // instances, and differs by part to spread the parts over the owners.
-func (c Claim) Beats(other Claim) bool {
+func (c Claim) Supersedes(other Claim) bool {
 	return cmp.Or(
 		cmp.Compare(c.Term, other.Term),
 		cmp.Compare(c.confirmedRank(), other.confirmedRank()),
@@ -161,7 +161,7 @@
 		if !valid(claim) || claim.Term-min(before.Term, claim.Term) > maxTermStep {
 			continue
 		}
-		if !claim.Beats(before) {
+		if !claim.Supersedes(before) {
 			t.rememberHidden(claim, before)
 			continue
 		}
@@ -185,7 +185,7 @@
 
 // rememberHidden remembers a confirmed claim that is hidden by a provisional one of a later term.
 func (t *Table) rememberHidden(claim, current Claim) {
-	if !claim.Provisional && current.Provisional && claim.Beats(t.displaced[claim.Part]) {
+	if !claim.Provisional && current.Provisional && claim.Supersedes(t.displaced[claim.Part]) {
 		t.displaced[claim.Part] = claim
 	}
 }
