--- a/pkg/ownership/division.go
+++ b/pkg/ownership/division.go
@@ -28,9 +28,9 @@
 	Term  uint64 `json:"term"`
 }
 
-// Beats reports whether a division takes precedence over another. Divisions of the same term come
+// Supersedes reports whether a division takes precedence over another. Divisions of the same term come
 // from instances that did not reach each other; the order is the same at all instances.
-func (d Division) Beats(other Division) bool {
+func (d Division) Supersedes(other Division) bool {
 	return cmp.Or(cmp.Compare(d.Term, other.Term), cmp.Compare(d.Parts, other.Parts)) > 0
 }
 
@@ -63,7 +63,7 @@
 
 // Hear merges a division received from another instance and reports whether it took effect.
 func (d *Divider) Hear(heard Division) bool {
-	if !heard.valid() || heard.Term-min(d.agreed.Term, heard.Term) > maxTermStep || !heard.Beats(d.agreed) {
+	if !heard.valid() || heard.Term-min(d.agreed.Term, heard.Term) > maxTermStep || !heard.Supersedes(d.agreed) {
 		return false
 	}
 	d.agreed = heard
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -255,7 +255,7 @@
 func (r *Router) serve(ctx context.Context, call api.Run) (api.Ran, error) {
 	part, plan := call.Part, call.Plan
 	r.divisions.merge(call.Division, "told_with_plan")
-	if division := r.divisions.agreed(); call.Division.Parts > 0 && part.Of != division.Parts && division.Beats(call.Division) {
+	if division := r.divisions.agreed(); call.Division.Parts > 0 && part.Of != division.Parts && division.Supersedes(call.Division) {
 		return api.Ran{Outcome: pipeline.Outcome{Reason: batch.Moved, Made: plan.Made}, Division: division}, nil
 	}
 	r.claims.merge([]ownership.Claim{call.Known}, "told_with_plan")
@@ -286,7 +286,7 @@
 	holder, _ := r.claims.holder(call.Part)
 	outcome.Made = withRemainingTimes(outcome.Made, r.clock.Now())
 	ran := api.Ran{Outcome: outcome, Owner: holder}
-	if division := r.divisions.agreed(); division.Beats(call.Division) {
+	if division := r.divisions.agreed(); division.Supersedes(call.Division) {
 		ran.Division = division
 	}
 	return ran
