--- a/pkg/ownership/table.go
+++ b/pkg/ownership/table.go
@@ -150,11 +150,11 @@
 	After  Claim
 }
 
-// Hear merges received claims and returns the resulting changes. A claim that does not take
+// Merge merges received claims and returns the resulting changes. A claim that does not take
 // precedence over the current one is ignored. So is a provisional claim if the current, confirmed
 // owner is this instance or is preferred according to staysWith: terms rise inside a partition, and
 // the owners on the majority side must not lose their parts when the partition heals.
-func (t *Table) Hear(claims []Claim, staysWith func(owner, claimer Owner) bool) []Change {
+func (t *Table) Merge(claims []Claim, staysWith func(owner, claimer Owner) bool) []Change {
 	var changes []Change
 	for _, claim := range claims {
 		before := t.claims[claim.Part]
--- a/pkg/ownership/table_test.go
+++ b/pkg/ownership/table_test.go
@@ -34,8 +34,8 @@
 	It("keeps the owner until a later term is heard", func() {
 		t := ownership.NewTable(owner(1, 1))
 		first := ownership.Claim{Part: part, Term: 3, Owner: owner(2, 1)}
-		Expect(t.Hear([]ownership.Claim{first}, never)).To(Equal([]ownership.Change{{After: first}}))
-		Expect(t.Hear([]ownership.Claim{{Part: part, Term: 2, Owner: owner(9, 1)}, first}, never)).To(BeEmpty())
+		Expect(t.Merge([]ownership.Claim{first}, never)).To(Equal([]ownership.Change{{After: first}}))
+		Expect(t.Merge([]ownership.Claim{{Part: part, Term: 2, Owner: owner(9, 1)}, first}, never)).To(BeEmpty())
 		holder, _ := t.Holder(part)
 		Expect(holder).To(Equal(first))
 		own := t.Claim(part)
@@ -46,7 +46,7 @@
 
 	It("does not own a part claimed by an earlier incarnation", func() {
 		t := ownership.NewTable(owner(1, 2))
-		t.Hear([]ownership.Claim{{Part: part, Term: 5, Owner: owner(1, 1)}}, never)
+		t.Merge([]ownership.Claim{{Part: part, Term: 5, Owner: owner(1, 1)}}, never)
 		Expect(t.Owns(part)).To(BeFalse())
 		Expect(t.Claim(part).Term).To(Equal(uint64(6)))
 	})
@@ -60,9 +60,9 @@
 			for n := range 3 {
 				claims = append(claims, ownership.Claim{Part: ownership.Part{Number: number, Of: parts}, Term: 1, Owner: owner(n, 1)})
 			}
-			ascending.Hear(claims, never)
+			ascending.Merge(claims, never)
 			slices.Reverse(claims)
-			descending.Hear(claims, never)
+			descending.Merge(claims, never)
 			holder, _ := ascending.Holder(claims[0].Part)
 			same, _ := descending.Holder(claims[0].Part)
 			Expect(same).To(Equal(holder))
@@ -78,30 +78,30 @@
 
 		BeforeEach(func() {
 			t = ownership.NewTable(owner(1, 1))
-			t.Hear([]ownership.Claim{confirmed}, never)
+			t.Merge([]ownership.Claim{confirmed}, never)
 		})
 
 		It("accepts it if the owner is not preferred, and remembers the displaced claim", func() {
-			Expect(t.Hear([]ownership.Claim{provisional}, never)).To(HaveLen(1))
+			Expect(t.Merge([]ownership.Claim{provisional}, never)).To(HaveLen(1))
 			displaced, known := t.Displaced(part)
 			Expect(known).To(BeTrue())
 			Expect(displaced).To(Equal(confirmed))
 			By("receiving a later confirmed claim")
 			later := ownership.Claim{Part: part, Term: 3, Owner: owner(4, 1)}
-			Expect(t.Hear([]ownership.Claim{later}, never)).To(BeEmpty())
+			Expect(t.Merge([]ownership.Claim{later}, never)).To(BeEmpty())
 			displaced, _ = t.Displaced(part)
 			Expect(displaced).To(Equal(later))
 		})
 
 		It("ignores it if the owner is preferred", func() {
-			Expect(t.Hear([]ownership.Claim{provisional}, always)).To(BeEmpty())
+			Expect(t.Merge([]ownership.Claim{provisional}, always)).To(BeEmpty())
 			holder, _ := t.Holder(part)
 			Expect(holder).To(Equal(confirmed))
 		})
 
 		It("ignores it if it is the owner itself", func() {
 			own := t.Claim(part)
-			Expect(t.Hear([]ownership.Claim{provisional}, never)).To(BeEmpty())
+			Expect(t.Merge([]ownership.Claim{provisional}, never)).To(BeEmpty())
 			holder, _ := t.Holder(part)
 			Expect(holder).To(Equal(own))
 		})
@@ -109,8 +109,8 @@
 		It("accepts it once it is confirmed, also in the same term", func() {
 			confirmed := provisional
 			confirmed.Provisional = false
-			t.Hear([]ownership.Claim{provisional}, never)
-			Expect(t.Hear([]ownership.Claim{confirmed}, always)).To(HaveLen(1))
+			t.Merge([]ownership.Claim{provisional}, never)
+			Expect(t.Merge([]ownership.Claim{confirmed}, always)).To(HaveLen(1))
 			_, known := t.Displaced(part)
 			Expect(known).To(BeFalse())
 		})
@@ -118,7 +118,7 @@
 
 	It("assigns a provisional claim as provisional, except back to the displaced owner", func() {
 		t := ownership.NewTable(owner(1, 1))
-		t.Hear([]ownership.Claim{{Part: part, Term: 1, Owner: owner(2, 1)}}, never)
+		t.Merge([]ownership.Claim{{Part: part, Term: 1, Owner: owner(2, 1)}}, never)
 		t.ClaimProvisionally(part)
 		Expect(t.Assign(part, owner(3, 1)).Provisional).To(BeTrue())
 		Expect(t.Assign(part, owner(2, 1)).Provisional).To(BeFalse())
@@ -127,7 +127,7 @@
 	DescribeTable("ignores invalid claims and implausible terms",
 		func(claim ownership.Claim) {
 			t := ownership.NewTable(owner(1, 1))
-			Expect(t.Hear([]ownership.Claim{claim}, never)).To(BeEmpty())
+			Expect(t.Merge([]ownership.Claim{claim}, never)).To(BeEmpty())
 			_, known := t.Holder(part)
 			Expect(known).To(BeFalse())
 		},
@@ -253,7 +253,7 @@
 
 // deliver delivers a message. The receiver prefers its owner over claimers of other failure domains.
 func (g *group) deliver(m message) {
-	g.tables[m.to].Hear(m.claims, func(_, claimer ownership.Owner) bool {
+	g.tables[m.to].Merge(m.claims, func(_, claimer ownership.Owner) bool {
 		var n int
 		_, err := fmt.Sscanf(claimer.Name, "i%d", &n)
 		return err == nil && g.domains[n] != g.domains[m.to]
--- a/service/handover/claims.go
+++ b/service/handover/claims.go
@@ -147,7 +147,7 @@
 func (c *claims) merge(heard []ownership.Claim, cause string) {
 	c.mu.Lock()
 	self := c.table.Self()
-	changes := c.table.Hear(heard, c.prefersOwner)
+	changes := c.table.Merge(heard, c.prefersOwner)
 	for _, change := range changes {
 		c.relay(change.After)
 	}
