--- a/pkg/ownership/division.go
+++ b/pkg/ownership/division.go
@@ -61,8 +61,8 @@
 	return initialParts(supply)
 }
 
-// Hear merges a division received from another instance and reports whether it took effect.
-func (d *Divider) Hear(heard Division) bool {
+// Merge merges a division received from another instance and reports whether it took effect.
+func (d *Divider) Merge(heard Division) bool {
 	if !heard.valid() || heard.Term-min(d.agreed.Term, heard.Term) > maxTermStep || !heard.Supersedes(d.agreed) {
 		return false
 	}
--- a/pkg/ownership/division_test.go
+++ b/pkg/ownership/division_test.go
@@ -81,16 +81,16 @@
 
 	It("yields to a later term, and to more parts of one term", func() {
 		d.Look(now, ownership.Supply{All: 35})
-		Expect(d.Hear(ownership.Division{Parts: 2, Term: 1})).To(BeFalse())
-		Expect(d.Hear(ownership.Division{Parts: 8, Term: 1})).To(BeTrue())
-		Expect(d.Hear(ownership.Division{Parts: 2, Term: 2})).To(BeTrue())
-		Expect(d.Hear(ownership.Division{Parts: 2, Term: 2})).To(BeFalse())
+		Expect(d.Merge(ownership.Division{Parts: 2, Term: 1})).To(BeFalse())
+		Expect(d.Merge(ownership.Division{Parts: 8, Term: 1})).To(BeTrue())
+		Expect(d.Merge(ownership.Division{Parts: 2, Term: 2})).To(BeTrue())
+		Expect(d.Merge(ownership.Division{Parts: 2, Term: 2})).To(BeFalse())
 		Expect(d.Parts(ownership.Supply{All: 35})).To(Equal(2))
 	})
 
 	DescribeTable("ignores invalid divisions and implausible terms",
 		func(heard ownership.Division) {
-			Expect(d.Hear(heard)).To(BeFalse())
+			Expect(d.Merge(heard)).To(BeFalse())
 			Expect(d.Agreed()).To(Equal(ownership.Division{}))
 		},
 		Entry("no term", ownership.Division{Parts: 4}),
@@ -119,7 +119,7 @@
 			now = now.Add(afterDelay / 2)
 			dividers[one(t)].Look(now, ownership.Supply{All: rapid.IntRange(0, 200).Draw(t, "endpoints")})
 		},
-		"tell": func(t *rapid.T) { dividers[one(t)].Hear(dividers[one(t)].Agreed()) },
+		"tell": func(t *rapid.T) { dividers[one(t)].Merge(dividers[one(t)].Agreed()) },
 		"restart": func(t *rapid.T) {
 			n := one(t)
 			dividers[n], terms[n] = &ownership.Divider{}, 0
@@ -136,7 +136,7 @@
 	for range 2 {
 		for _, from := range dividers {
 			for _, to := range dividers {
-				to.Hear(from.Agreed())
+				to.Merge(from.Agreed())
 			}
 		}
 	}
--- a/service/handover/divisions.go
+++ b/service/handover/divisions.go
@@ -88,7 +88,7 @@
 func (d *divisions) merge(heard ownership.Division, cause string) {
 	d.mu.Lock()
 	before := d.divider.Agreed()
-	holds := d.divider.Hear(heard)
+	holds := d.divider.Merge(heard)
 	d.mu.Unlock()
 	if holds {
 		d.logChange(before, heard, cause)
