--- a/pkg/ownership/division.go
+++ b/pkg/ownership/division.go
@@ -71,10 +71,10 @@
 	return true
 }
 
-// Look re-evaluates the division with the current endpoint counts and reports whether it changed.
+// Update re-evaluates the division with the current endpoint counts and reports whether it changed.
 // Only the deciding instance calls it, periodically. The first division is made immediately; later
 // changes are made after the counts have called for them for changeDelay.
-func (d *Divider) Look(now time.Time, supply Supply) bool {
+func (d *Divider) Update(now time.Time, supply Supply) bool {
 	if supply.All == 0 {
 		return false
 	}
--- a/pkg/ownership/regions_test.go
+++ b/pkg/ownership/regions_test.go
@@ -51,19 +51,19 @@
 	It("are kept while a region lacks a few endpoints, and dropped when it has far too few", func() {
 		var d ownership.Divider
 		now := time.Now()
-		Expect(d.Look(now, supply(15, 5, 5, 5))).To(BeTrue())
+		Expect(d.Update(now, supply(15, 5, 5, 5))).To(BeTrue())
 		for _, s := range []ownership.Supply{supply(14, 4, 5, 5), supply(20, 8, 6, 6)} {
-			d.Look(now, s)
+			d.Update(now, s)
 			now = now.Add(40 * time.Second)
-			Expect(d.Look(now, s)).To(BeFalse())
+			Expect(d.Update(now, s)).To(BeFalse())
 		}
-		d.Look(now, supply(11, 1, 5, 5))
+		d.Update(now, supply(11, 1, 5, 5))
 		now = now.Add(40 * time.Second)
-		Expect(d.Look(now, supply(11, 1, 5, 5))).To(BeTrue())
+		Expect(d.Update(now, supply(11, 1, 5, 5))).To(BeTrue())
 		Expect(d.Agreed().Parts).To(Equal(2))
-		d.Look(now, supply(15, 5, 5, 5))
+		d.Update(now, supply(15, 5, 5, 5))
 		now = now.Add(40 * time.Second)
-		Expect(d.Look(now, supply(15, 5, 5, 5))).To(BeTrue())
+		Expect(d.Update(now, supply(15, 5, 5, 5))).To(BeTrue())
 		Expect(d.Agreed().Parts).To(Equal(3))
 	})
 })
--- a/service/handover/divisions.go
+++ b/service/handover/divisions.go
@@ -99,7 +99,7 @@
 func (d *divisions) update() {
 	d.mu.Lock()
 	before := d.divider.Agreed()
-	holds := d.divider.Look(d.clock.Now(), d.supply())
+	holds := d.divider.Update(d.clock.Now(), d.supply())
 	after := d.divider.Agreed()
 	d.mu.Unlock()
 	if holds {
