--- a/cmd/cobaltcroftd/gateway/supply.go
+++ b/cmd/cobaltcroftd/gateway/supply.go
@@ -42,7 +42,7 @@
 		}
 		inside := map[string]int{}
 		for _, e := range ready {
-			inside[regions.In(e.FailureDomain)]++
+			inside[regions.OfDomain(e.FailureDomain)]++
 		}
 		for region, n := range supply.Regions {
 			if first || inside[region] < n {
--- a/pkg/batch/part_test.go
+++ b/pkg/batch/part_test.go
@@ -61,7 +61,7 @@
 			for _, id := range batch.PartIDsIn(q, all, regions) {
 				seen[id]++
 				for _, endpoint := range all {
-					region := regions.In(endpoint.FailureDomain)
+					region := regions.OfDomain(endpoint.FailureDomain)
 					if endpoint.ID == id && region != "" {
 						Expect(region).To(Equal(regions.Of(ownership.Part{Number: part, Of: 4})))
 					}
--- a/pkg/ownership/regions.go
+++ b/pkg/ownership/regions.go
@@ -21,8 +21,8 @@
 	return Regions{byDomain: byDomain, names: slices.Compact(slices.Sorted(maps.Values(byDomain)))}
 }
 
-// In returns the region of a failure domain; empty if it is unknown.
-func (r Regions) In(domain string) string { return r.byDomain[domain] }
+// OfDomain returns the region of a failure domain; empty if it is unknown.
+func (r Regions) OfDomain(domain string) string { return r.byDomain[domain] }
 
 // Names returns the sorted regions. The slice must not be changed.
 func (r Regions) Names() []string { return r.names }
--- a/service/handover/owners.go
+++ b/service/handover/owners.go
@@ -174,7 +174,7 @@
 	if region == "" {
 		return
 	}
-	inRegion := func(candidate owner) bool { return o.regions.In(candidate.FailureDomain) == region }
+	inRegion := func(candidate owner) bool { return o.regions.OfDomain(candidate.FailureDomain) == region }
 	slices.SortStableFunc(list, func(a, b owner) int {
 		return cmp.Or(compareBool(b.capable, a.capable), compareBool(inRegion(b), inRegion(a)))
 	})
@@ -183,7 +183,7 @@
 // outsideRegion reports whether a part is assigned to a region other than the instance's.
 func (o *owners) outsideRegion(part pipeline.Part, candidate owner) bool {
 	region := o.regions.Of(part)
-	return region != "" && o.regions.In(candidate.FailureDomain) != region
+	return region != "" && o.regions.OfDomain(candidate.FailureDomain) != region
 }
 
 // rank sorts instances by capability, then by weight.
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -104,7 +104,7 @@
 	if broadcast == nil {
 		broadcast = func() {}
 	}
-	r.divisions = &divisions{clock: o.Clock, log: o.Log, supply: o.Supply, regions: o.Regions, homeRegion: o.Regions.In(o.Self.FailureDomain), onDecision: broadcast, onChange: func(d ownership.Division) { go r.applyDivision(d) }}
+	r.divisions = &divisions{clock: o.Clock, log: o.Log, supply: o.Supply, regions: o.Regions, homeRegion: o.Regions.OfDomain(o.Self.FailureDomain), onDecision: broadcast, onChange: func(d ownership.Division) { go r.applyDivision(d) }}
 	r.claims = newClaims(o.Clock, o.Log, o.Self.Owner())
 	r.claims.onChange, r.claims.onLost, r.claims.prefersOwner = broadcast, r.yield, r.owners.prefersOwner
 	r.claims.onWon = func(won ownership.Claim) { r.planner.Resume(won.Part) }
