--- a/pkg/batch/part.go
+++ b/pkg/batch/part.go
@@ -34,7 +34,7 @@
 	inside := map[string][]fleet.Endpoint{}
 	for _, e := range ready {
 		// One whose region is not known falls to any.
-		region := regions.Of(regions.Part(regions.OfDomain(e.FailureDomain), xxhash.Sum64String(e.ID), parts))
+		region := regions.OfPart(regions.Part(regions.OfDomain(e.FailureDomain), xxhash.Sum64String(e.ID), parts))
 		inside[region] = append(inside[region], e)
 	}
 	for region, endpoints := range inside {
--- a/pkg/batch/part_test.go
+++ b/pkg/batch/part_test.go
@@ -63,7 +63,7 @@
 				for _, endpoint := range all {
 					region := regions.OfDomain(endpoint.FailureDomain)
 					if endpoint.ID == id && region != "" {
-						Expect(region).To(Equal(regions.Of(ownership.Part{Number: part, Of: 4})))
+						Expect(region).To(Equal(regions.OfPart(ownership.Part{Number: part, Of: 4})))
 					}
 				}
 			}
--- a/pkg/ownership/regions.go
+++ b/pkg/ownership/regions.go
@@ -33,8 +33,8 @@
 	return n > 1 && parts%n == 0
 }
 
-// Of returns the region of a part; empty if parts are not assigned to regions.
-func (r Regions) Of(part Part) string {
+// OfPart returns the region of a part; empty if parts are not assigned to regions.
+func (r Regions) OfPart(part Part) string {
 	if !r.Cut(part.Of) {
 		return ""
 	}
--- a/pkg/ownership/regions_test.go
+++ b/pkg/ownership/regions_test.go
@@ -21,15 +21,15 @@
 		Expect(regions.Cut(4)).To(BeFalse())
 		Expect(ownership.NewRegions(map[string]string{"a1": "north", "a2": "north"}).Cut(3)).To(BeFalse())
 		Expect(ownership.Regions{}.Cut(4)).To(BeFalse())
-		Expect(regions.Of(ownership.Part{Number: 4, Of: 6})).To(Equal("south"))
-		Expect(regions.Of(ownership.Part{Number: 1, Of: 2})).To(BeEmpty())
+		Expect(regions.OfPart(ownership.Part{Number: 4, Of: 6})).To(Equal("south"))
+		Expect(regions.OfPart(ownership.Part{Number: 1, Of: 2})).To(BeEmpty())
 	})
 
 	It("cover all numbers of their region", func() {
 		seen := map[ownership.Part]bool{}
 		for number := range uint64(20) {
 			part := regions.Part("west", number, 6)
-			Expect(regions.Of(part)).To(Equal("west"))
+			Expect(regions.OfPart(part)).To(Equal("west"))
 			seen[part] = true
 		}
 		Expect(seen).To(HaveLen(2))
--- a/service/handover/owners.go
+++ b/service/handover/owners.go
@@ -119,7 +119,7 @@
 		}
 		return chosen
 	}
-	if part.Number < len(o.contacts) && o.regions.Of(part) == "" && containsCapable(list, o.contacts[part.Number]) {
+	if part.Number < len(o.contacts) && o.regions.OfPart(part) == "" && containsCapable(list, o.contacts[part.Number]) {
 		chosen = append(chosen, o.contacts[part.Number])
 	}
 	return chosen
@@ -170,7 +170,7 @@
 
 // preferRegion moves the instances in the part's region ahead of others that are equally capable.
 func (o *owners) preferRegion(part pipeline.Part, list []owner) {
-	region := o.regions.Of(part)
+	region := o.regions.OfPart(part)
 	if region == "" {
 		return
 	}
@@ -182,7 +182,7 @@
 
 // outsideRegion reports whether a part is assigned to a region other than the instance's.
 func (o *owners) outsideRegion(part pipeline.Part, candidate owner) bool {
-	region := o.regions.Of(part)
+	region := o.regions.OfPart(part)
 	return region != "" && o.regions.OfDomain(candidate.FailureDomain) != region
 }
 
--- a/service/handover/regions_test.go
+++ b/service/handover/regions_test.go
@@ -31,7 +31,7 @@
 		return nil
 	}
 	call := params.(api.Run)
-	region := r.regions.Of(call.Part)
+	region := r.regions.OfPart(call.Part)
 	r.regionsAsked, r.addresses = append(r.regionsAsked, region), append(r.addresses, address)
 	if r.busy[region] {
 		result.(*api.Ran).Reason = pipeline.Busy
