--- a/pkg/batch/part.go
+++ b/pkg/batch/part.go
@@ -27,7 +27,7 @@
 
 // eachPart cuts endpoints into parts, those of each region by themselves if the parts are cut by region.
 func eachPart(ready []fleet.Endpoint, parts int, regions ownership.Regions, do func(e fleet.Endpoint, part int)) {
-	if !regions.Cut(parts) {
+	if !regions.AssignsParts(parts) {
 		eachEqualPart(ready, parts, do)
 		return
 	}
--- a/pkg/ownership/regions.go
+++ b/pkg/ownership/regions.go
@@ -27,15 +27,15 @@
 // Names returns the sorted regions. The slice must not be changed.
 func (r Regions) Names() []string { return r.names }
 
-// Cut reports whether the given number of parts is assigned to regions.
-func (r Regions) Cut(parts int) bool {
+// AssignsParts reports whether the given number of parts is assigned to regions.
+func (r Regions) AssignsParts(parts int) bool {
 	n := len(r.names)
 	return n > 1 && parts%n == 0
 }
 
 // OfPart returns the region of a part; empty if parts are not assigned to regions.
 func (r Regions) OfPart(part Part) string {
-	if !r.Cut(part.Of) {
+	if !r.AssignsParts(part.Of) {
 		return ""
 	}
 	return r.names[part.Number%len(r.names)]
--- a/pkg/ownership/regions_test.go
+++ b/pkg/ownership/regions_test.go
@@ -16,11 +16,11 @@
 	}
 
 	It("are determined by their number", func() {
-		Expect(regions.Cut(3)).To(BeTrue())
-		Expect(regions.Cut(6)).To(BeTrue())
-		Expect(regions.Cut(4)).To(BeFalse())
-		Expect(ownership.NewRegions(map[string]string{"a1": "north", "a2": "north"}).Cut(3)).To(BeFalse())
-		Expect(ownership.Regions{}.Cut(4)).To(BeFalse())
+		Expect(regions.AssignsParts(3)).To(BeTrue())
+		Expect(regions.AssignsParts(6)).To(BeTrue())
+		Expect(regions.AssignsParts(4)).To(BeFalse())
+		Expect(ownership.NewRegions(map[string]string{"a1": "north", "a2": "north"}).AssignsParts(3)).To(BeFalse())
+		Expect(ownership.Regions{}.AssignsParts(4)).To(BeFalse())
 		Expect(regions.OfPart(ownership.Part{Number: 4, Of: 6})).To(Equal("south"))
 		Expect(regions.OfPart(ownership.Part{Number: 1, Of: 2})).To(BeEmpty())
 	})
--- a/service/handover/divisions.go
+++ b/service/handover/divisions.go
@@ -38,7 +38,7 @@
 // the given region.
 func (d *divisions) partOf(request, region string) pipeline.Part {
 	parts, number := d.current().Parts, xxhash.Sum64String(request)
-	if d.regions.Cut(parts) {
+	if d.regions.AssignsParts(parts) {
 		return d.regions.Part(region, number, parts)
 	}
 	return pipeline.Part{Number: int(number % uint64(parts)), Of: parts}
@@ -48,7 +48,7 @@
 // then the others in a per-request order. Regions without endpoints for some stage come last. If
 // parts are not assigned to regions, the result is a single empty name.
 func (d *divisions) regionsFor(request string) []string {
-	if !d.regions.Cut(d.current().Parts) {
+	if !d.regions.AssignsParts(d.current().Parts) {
 		return []string{""}
 	}
 	supply := d.supply().Regions
