--- a/pkg/batch/part.go
+++ b/pkg/batch/part.go
@@ -38,7 +38,7 @@
 		inside[region] = append(inside[region], e)
 	}
 	for region, endpoints := range inside {
-		eachEqualPart(endpoints, regions.Each(parts), func(e fleet.Endpoint, number int) {
+		eachEqualPart(endpoints, regions.PartsPerRegion(parts), func(e fleet.Endpoint, number int) {
 			do(e, regions.Part(region, uint64(number), parts).Number)
 		})
 	}
--- a/pkg/ownership/regions.go
+++ b/pkg/ownership/regions.go
@@ -47,11 +47,11 @@
 	if !found {
 		at = int(number % uint64(len(r.names)))
 	}
-	return Part{Number: at + len(r.names)*int(number%uint64(r.Each(parts))), Of: parts}
+	return Part{Number: at + len(r.names)*int(number%uint64(r.PartsPerRegion(parts))), Of: parts}
 }
 
-// Each returns the number of parts per region, in a division that is assigned to regions.
-func (r Regions) Each(parts int) int { return parts / len(r.names) }
+// PartsPerRegion returns the number of parts per region, in a division that is assigned to regions.
+func (r Regions) PartsPerRegion(parts int) int { return parts / len(r.names) }
 
 // Supply has the endpoint count of the smallest service that takes pieces: in total, and by region.
 type Supply struct {
