--- a/cmd/cobaltcroftd/gateway/supply.go
+++ b/cmd/cobaltcroftd/gateway/supply.go
@@ -11,12 +11,12 @@
 type counted struct {
 	fleet  *fleet.Snapshot
 	table  *route.Table
-	supply ownership.Supply
+	supply ownership.EndpointCounts
 }
 
 // supply is how many endpoints the least service has that takes pieces. Every plan asks for it, so it is
 // counted once for each view.
-func (g *Gateway) supply() ownership.Supply {
+func (g *Gateway) supply() ownership.EndpointCounts {
 	view := g.follower.View()
 	if last := g.counted.Load(); last != nil && last.fleet == view.Fleet && last.table == view.Table {
 		return last.supply
@@ -26,8 +26,8 @@
 	return supply
 }
 
-func count(view *discovery.View, regions ownership.Regions) ownership.Supply {
-	supply := ownership.Supply{Regions: map[string]int{}}
+func count(view *discovery.View, regions ownership.Regions) ownership.EndpointCounts {
+	supply := ownership.EndpointCounts{Regions: map[string]int{}}
 	if view.Table == nil {
 		return supply
 	}
--- a/pkg/ownership/division.go
+++ b/pkg/ownership/division.go
@@ -54,7 +54,7 @@
 
 // Parts returns the agreed number of parts, or the number derived from the endpoint counts if there
 // is none.
-func (d *Divider) Parts(supply Supply) int {
+func (d *Divider) Parts(supply EndpointCounts) int {
 	if d.agreed.Term > 0 {
 		return d.agreed.Parts
 	}
@@ -74,7 +74,7 @@
 // Update re-evaluates the division with the current endpoint counts and reports whether it changed.
 // Only the deciding instance calls it, periodically. The first division is made immediately; later
 // changes are made after the counts have called for them for changeDelay.
-func (d *Divider) Update(now time.Time, supply Supply) bool {
+func (d *Divider) Update(now time.Time, supply EndpointCounts) bool {
 	if supply.All == 0 {
 		return false
 	}
@@ -105,7 +105,7 @@
 
 // targetParts returns the number of parts that the endpoint counts call for: the agreed number
 // unless that is far too low or too high.
-func (d *Divider) targetParts(supply Supply) int {
+func (d *Divider) targetParts(supply EndpointCounts) int {
 	regions := max(1, len(supply.Regions))
 	byRegion := regions > 1 && d.agreed.Parts%regions == 0
 	endpoints, parts := supply.All, d.agreed.Parts
@@ -122,7 +122,7 @@
 
 // initialParts returns the number of parts for the endpoint counts. Each region gets its own parts if
 // all regions have enough endpoints.
-func initialParts(supply Supply) int {
+func initialParts(supply EndpointCounts) int {
 	if least := supply.smallestRegion(); least >= endpointsPerPart {
 		return len(supply.Regions) * powerOfTwoParts(least)
 	}
--- a/pkg/ownership/regions.go
+++ b/pkg/ownership/regions.go
@@ -53,14 +53,14 @@
 // PartsPerRegion returns the number of parts per region, in a division that is assigned to regions.
 func (r Regions) PartsPerRegion(parts int) int { return parts / len(r.names) }
 
-// Supply has the endpoint count of the smallest service that takes pieces: in total, and by region.
-type Supply struct {
+// EndpointCounts has the endpoint count of the smallest service that takes pieces: in total, and by region.
+type EndpointCounts struct {
 	All     int
 	Regions map[string]int
 }
 
 // smallestRegion returns the count of the smallest region, or 0 if there are fewer than two regions.
-func (s Supply) smallestRegion() int {
+func (s EndpointCounts) smallestRegion() int {
 	if len(s.Regions) < 2 {
 		return 0
 	}
--- a/pkg/ownership/regions_test.go
+++ b/pkg/ownership/regions_test.go
@@ -11,8 +11,8 @@
 
 var _ = Describe("parts assigned to regions", func() {
 	regions := ownership.NewRegions(map[string]string{"a1": "north", "a2": "north", "b1": "south", "c1": "west"})
-	supply := func(all, north, south, west int) ownership.Supply {
-		return ownership.Supply{All: all, Regions: map[string]int{"north": north, "south": south, "west": west}}
+	supply := func(all, north, south, west int) ownership.EndpointCounts {
+		return ownership.EndpointCounts{All: all, Regions: map[string]int{"north": north, "south": south, "west": west}}
 	}
 
 	It("are determined by their number", func() {
@@ -36,7 +36,7 @@
 	})
 
 	DescribeTable("are used if each region has enough endpoints",
-		func(s ownership.Supply, parts int) {
+		func(s ownership.EndpointCounts, parts int) {
 			Expect((&ownership.Divider{}).Parts(s)).To(Equal(parts))
 		},
 		Entry("enough for one each", supply(15, 5, 5, 5), 3),
@@ -44,15 +44,15 @@
 		Entry("one has too few", supply(15, 7, 6, 2), 2),
 		Entry("one has none", supply(12, 6, 6, 0), 2),
 		Entry("two regions, one with too few: two parts would be assigned to regions",
-			ownership.Supply{All: 14, Regions: map[string]int{"north": 12, "south": 2}}, 1),
-		Entry("one region", ownership.Supply{All: 40, Regions: map[string]int{"north": 40}}, 8),
+			ownership.EndpointCounts{All: 14, Regions: map[string]int{"north": 12, "south": 2}}, 1),
+		Entry("one region", ownership.EndpointCounts{All: 40, Regions: map[string]int{"north": 40}}, 8),
 	)
 
 	It("are kept while a region lacks a few endpoints, and dropped when it has far too few", func() {
 		var d ownership.Divider
 		now := time.Now()
 		Expect(d.Update(now, supply(15, 5, 5, 5))).To(BeTrue())
-		for _, s := range []ownership.Supply{supply(14, 4, 5, 5), supply(20, 8, 6, 6)} {
+		for _, s := range []ownership.EndpointCounts{supply(14, 4, 5, 5), supply(20, 8, 6, 6)} {
 			d.Update(now, s)
 			now = now.Add(40 * time.Second)
 			Expect(d.Update(now, s)).To(BeFalse())
--- a/service/handover/divisions.go
+++ b/service/handover/divisions.go
@@ -21,7 +21,7 @@
 	clock clockwork.Clock
 	log   *logrus.Entry
 	// supply returns the endpoint counts as this instance sees them.
-	supply func() ownership.Supply
+	supply func() ownership.EndpointCounts
 	// regions maps failure domains to regions; homeRegion is the region of this instance.
 	regions    ownership.Regions
 	homeRegion string
--- a/service/handover/regions_test.go
+++ b/service/handover/regions_test.go
@@ -46,7 +46,7 @@
 	var (
 		clock  *clockwork.FakeClock
 		client *refusingCaller
-		supply ownership.Supply
+		supply ownership.EndpointCounts
 		router *Router
 	)
 
@@ -67,7 +67,7 @@
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
 		client = &refusingCaller{regions: regions, busy: map[string]bool{}}
-		supply = ownership.Supply{All: 15, Regions: map[string]int{"north": 5, "south": 5, "west": 5}}
+		supply = ownership.EndpointCounts{All: 15, Regions: map[string]int{"north": 5, "south": 5, "west": 5}}
 		var live []membership.Member
 		for n := 1; n < 12; n++ {
 			live = append(live, membership.Member{Self: member(n), State: membership.Live})
@@ -78,7 +78,7 @@
 			Self: membership.Self{Name: "i0", PeerAddress: "address-0", FailureDomain: "zone-0", Machine: membership.Machine{Cores: 0.001}},
 			Live: func() []membership.Member { return live }, Client: client,
 			Planner: pipeline.NewPlanner(pieces, clock, metrics.NewSet(), logging.Discard().For("pipeline")),
-			Supply:  func() ownership.Supply { return supply }, Regions: regions, Clock: clock, Log: logging.Discard().For("handover"),
+			Supply:  func() ownership.EndpointCounts { return supply }, Regions: regions, Clock: clock, Log: logging.Discard().For("handover"),
 		})
 		for n := range live {
 			live[n].Machine = membership.Machine{Cores: 1}
@@ -132,7 +132,7 @@
 
 	It("use parts without regions if there is only one region", func() {
 		router.divisions.regions, router.owners.regions = ownership.NewRegions(map[string]string{"zone-0": "north", "zone-1": "north"}), ownership.Regions{}
-		supply = ownership.Supply{All: 15, Regions: map[string]int{"north": 15}}
+		supply = ownership.EndpointCounts{All: 15, Regions: map[string]int{"north": 15}}
 		Expect(router.divisions.regionsFor("request")).To(Equal([]string{""}))
 		Expect(router.divisions.partOf("request", "").Of).To(Equal(2))
 	})
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -78,7 +78,7 @@
 	Planner  *pipeline.Planner
 	Batcher  *batch.Batcher
 	// Supply returns the endpoint counts. Regions maps failure domains to regions.
-	Supply  func() ownership.Supply
+	Supply  func() ownership.EndpointCounts
 	Regions ownership.Regions
 	// SendHeartbeat triggers a heartbeat after this instance changed an owner or the division. If nil, the
 	// change goes out with the next regular heartbeat.
