--- a/cmd/cobaltcroftd/gateway/supply.go
+++ b/cmd/cobaltcroftd/gateway/supply.go
@@ -49,8 +49,8 @@
 				supply.Regions[region] = inside[region]
 			}
 		}
-		if first || len(ready) < supply.All {
-			supply.All = len(ready)
+		if first || len(ready) < supply.Total {
+			supply.Total = len(ready)
 		}
 		first = false
 	}
--- a/pkg/ownership/division.go
+++ b/pkg/ownership/division.go
@@ -75,7 +75,7 @@
 // Only the deciding instance calls it, periodically. The first division is made immediately; later
 // changes are made after the counts have called for them for changeDelay.
 func (d *Divider) Update(now time.Time, supply EndpointCounts) bool {
-	if supply.All == 0 {
+	if supply.Total == 0 {
 		return false
 	}
 	if d.agreed.Term == 0 {
@@ -108,7 +108,7 @@
 func (d *Divider) targetParts(supply EndpointCounts) int {
 	regions := max(1, len(supply.Regions))
 	byRegion := regions > 1 && d.agreed.Parts%regions == 0
-	endpoints, parts := supply.All, d.agreed.Parts
+	endpoints, parts := supply.Total, d.agreed.Parts
 	if byRegion {
 		endpoints, parts = supply.smallestRegion(), d.agreed.Parts/regions
 	}
@@ -126,7 +126,7 @@
 	if least := supply.smallestRegion(); least >= endpointsPerPart {
 		return len(supply.Regions) * powerOfTwoParts(least)
 	}
-	parts := powerOfTwoParts(supply.All)
+	parts := powerOfTwoParts(supply.Total)
 	if len(supply.Regions) > 1 && parts%len(supply.Regions) == 0 {
 		// This number of parts would be assigned to regions, one of which has too few endpoints.
 		return 1
--- a/pkg/ownership/division_test.go
+++ b/pkg/ownership/division_test.go
@@ -30,7 +30,7 @@
 		changes := 0
 		for range int(lasts / time.Second) {
 			now = now.Add(time.Second)
-			if d.Update(now, ownership.EndpointCounts{All: endpoints}) {
+			if d.Update(now, ownership.EndpointCounts{Total: endpoints}) {
 				changes++
 			}
 		}
@@ -40,7 +40,7 @@
 	It("starts with parts of at least five endpoints, in a few possible numbers", func() {
 		counts := map[int]int{}
 		for endpoints := range 100 {
-			parts := (&ownership.Divider{}).Parts(ownership.EndpointCounts{All: endpoints})
+			parts := (&ownership.Divider{}).Parts(ownership.EndpointCounts{Total: endpoints})
 			counts[parts]++
 			Expect(parts == 1 || endpoints/parts >= 5).To(BeTrue())
 		}
@@ -48,10 +48,10 @@
 	})
 
 	It("uses the agreed division for any number of endpoints", func() {
-		Expect(d.Update(now, ownership.EndpointCounts{All: 35})).To(BeTrue())
+		Expect(d.Update(now, ownership.EndpointCounts{Total: 35})).To(BeTrue())
 		Expect(d.Agreed()).To(Equal(ownership.Division{Parts: 4, Term: 1}))
-		Expect(d.Parts(ownership.EndpointCounts{All: 100})).To(Equal(4))
-		Expect(d.Parts(ownership.EndpointCounts{All: 0})).To(Equal(4))
+		Expect(d.Parts(ownership.EndpointCounts{Total: 100})).To(Equal(4))
+		Expect(d.Parts(ownership.EndpointCounts{Total: 0})).To(Equal(4))
 	})
 
 	It("makes no division while no endpoint is known", func() {
@@ -60,7 +60,7 @@
 	})
 
 	It("keeps the division during a rolling update of a third of the endpoints", func() {
-		d.Update(now, ownership.EndpointCounts{All: 35})
+		d.Update(now, ownership.EndpointCounts{Total: 35})
 		for range 5 {
 			Expect(lookFor(d, 42, time.Minute)).To(BeZero())
 			Expect(lookFor(d, 47, time.Minute)).To(BeZero())
@@ -69,7 +69,7 @@
 	})
 
 	It("changes once after the counts have called for it for a while, and back", func() {
-		d.Update(now, ownership.EndpointCounts{All: 35})
+		d.Update(now, ownership.EndpointCounts{Total: 35})
 		Expect(lookFor(d, 80, 29*time.Second)).To(BeZero())
 		Expect(lookFor(d, 35, 2*time.Second)).To(BeZero())
 		Expect(lookFor(d, 80, 29*time.Second)).To(BeZero(), "the interval restarts")
@@ -80,12 +80,12 @@
 	})
 
 	It("yields to a later term, and to more parts of one term", func() {
-		d.Update(now, ownership.EndpointCounts{All: 35})
+		d.Update(now, ownership.EndpointCounts{Total: 35})
 		Expect(d.Merge(ownership.Division{Parts: 2, Term: 1})).To(BeFalse())
 		Expect(d.Merge(ownership.Division{Parts: 8, Term: 1})).To(BeTrue())
 		Expect(d.Merge(ownership.Division{Parts: 2, Term: 2})).To(BeTrue())
 		Expect(d.Merge(ownership.Division{Parts: 2, Term: 2})).To(BeFalse())
-		Expect(d.Parts(ownership.EndpointCounts{All: 35})).To(Equal(2))
+		Expect(d.Parts(ownership.EndpointCounts{Total: 35})).To(Equal(2))
 	})
 
 	DescribeTable("ignores invalid divisions and implausible terms",
@@ -117,7 +117,7 @@
 	t.Repeat(map[string]func(*rapid.T){
 		"look": func(t *rapid.T) {
 			now = now.Add(afterDelay / 2)
-			dividers[one(t)].Update(now, ownership.EndpointCounts{All: rapid.IntRange(0, 200).Draw(t, "endpoints")})
+			dividers[one(t)].Update(now, ownership.EndpointCounts{Total: rapid.IntRange(0, 200).Draw(t, "endpoints")})
 		},
 		"tell": func(t *rapid.T) { dividers[one(t)].Merge(dividers[one(t)].Agreed()) },
 		"restart": func(t *rapid.T) {
--- a/pkg/ownership/regions.go
+++ b/pkg/ownership/regions.go
@@ -55,7 +55,7 @@
 
 // EndpointCounts has the endpoint count of the smallest service that takes pieces: in total, and by region.
 type EndpointCounts struct {
-	All     int
+	Total   int
 	Regions map[string]int
 }
 
@@ -64,7 +64,7 @@
 	if len(s.Regions) < 2 {
 		return 0
 	}
-	least := s.All
+	least := s.Total
 	for _, n := range s.Regions {
 		least = min(least, n)
 	}
--- a/service/handover/instance_test.go
+++ b/service/handover/instance_test.go
@@ -458,7 +458,7 @@
 		Leaving: func() []membership.Member { return i.with(membership.Leaving) },
 		Client:  partitionableCaller{i},
 		Planner: pipeline.NewPlanner(i.pieces, clock, metrics.NewSet(), logging.Discard().For("pipeline")),
-		Supply:  func() ownership.EndpointCounts { return ownership.EndpointCounts{All: int(i.endpoints.Load())} },
+		Supply:  func() ownership.EndpointCounts { return ownership.EndpointCounts{Total: int(i.endpoints.Load())} },
 		Clock:   clock,
 		Log:     logging.Discard().For("handover"),
 	})
--- a/service/handover/regions_test.go
+++ b/service/handover/regions_test.go
@@ -67,7 +67,7 @@
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
 		client = &refusingCaller{regions: regions, busy: map[string]bool{}}
-		supply = ownership.EndpointCounts{All: 15, Regions: map[string]int{"north": 5, "south": 5, "west": 5}}
+		supply = ownership.EndpointCounts{Total: 15, Regions: map[string]int{"north": 5, "south": 5, "west": 5}}
 		var live []membership.Member
 		for n := 1; n < 12; n++ {
 			live = append(live, membership.Member{Self: member(n), State: membership.Live})
@@ -132,7 +132,7 @@
 
 	It("use parts without regions if there is only one region", func() {
 		router.divisions.regions, router.owners.regions = ownership.NewRegions(map[string]string{"zone-0": "north", "zone-1": "north"}), ownership.Regions{}
-		supply = ownership.EndpointCounts{All: 15, Regions: map[string]int{"north": 15}}
+		supply = ownership.EndpointCounts{Total: 15, Regions: map[string]int{"north": 15}}
 		Expect(router.divisions.regionsFor("request")).To(Equal([]string{""}))
 		Expect(router.divisions.partOf("request", "").Of).To(Equal(2))
 	})
