--- a/cmd/cobaltcroftd/gateway/supply.go
+++ b/cmd/cobaltcroftd/gateway/supply.go
@@ -27,12 +27,12 @@
 }
 
 func count(view *discovery.View, regions ownership.Regions) ownership.EndpointCounts {
-	supply := ownership.EndpointCounts{Regions: map[string]int{}}
+	supply := ownership.EndpointCounts{ByRegion: map[string]int{}}
 	if view.Table == nil {
 		return supply
 	}
 	for _, region := range regions.Names() {
-		supply.Regions[region] = 0
+		supply.ByRegion[region] = 0
 	}
 	first := true
 	for name, service := range view.Table.Services() {
@@ -44,9 +44,9 @@
 		for _, e := range ready {
 			inside[regions.OfDomain(e.FailureDomain)]++
 		}
-		for region, n := range supply.Regions {
+		for region, n := range supply.ByRegion {
 			if first || inside[region] < n {
-				supply.Regions[region] = inside[region]
+				supply.ByRegion[region] = inside[region]
 			}
 		}
 		if first || len(ready) < supply.Total {
--- a/pkg/ownership/division.go
+++ b/pkg/ownership/division.go
@@ -106,7 +106,7 @@
 // targetParts returns the number of parts that the endpoint counts call for: the agreed number
 // unless that is far too low or too high.
 func (d *Divider) targetParts(supply EndpointCounts) int {
-	regions := max(1, len(supply.Regions))
+	regions := max(1, len(supply.ByRegion))
 	byRegion := regions > 1 && d.agreed.Parts%regions == 0
 	endpoints, parts := supply.Total, d.agreed.Parts
 	if byRegion {
@@ -124,10 +124,10 @@
 // all regions have enough endpoints.
 func initialParts(supply EndpointCounts) int {
 	if least := supply.smallestRegion(); least >= endpointsPerPart {
-		return len(supply.Regions) * powerOfTwoParts(least)
+		return len(supply.ByRegion) * powerOfTwoParts(least)
 	}
 	parts := powerOfTwoParts(supply.Total)
-	if len(supply.Regions) > 1 && parts%len(supply.Regions) == 0 {
+	if len(supply.ByRegion) > 1 && parts%len(supply.ByRegion) == 0 {
 		// This number of parts would be assigned to regions, one of which has too few endpoints.
 		return 1
 	}
--- a/pkg/ownership/regions.go
+++ b/pkg/ownership/regions.go
@@ -55,17 +55,17 @@
 
 // EndpointCounts has the endpoint count of the smallest service that takes pieces: in total, and by region.
 type EndpointCounts struct {
-	Total   int
-	Regions map[string]int
+	Total    int
+	ByRegion map[string]int
 }
 
 // smallestRegion returns the count of the smallest region, or 0 if there are fewer than two regions.
 func (s EndpointCounts) smallestRegion() int {
-	if len(s.Regions) < 2 {
+	if len(s.ByRegion) < 2 {
 		return 0
 	}
 	least := s.Total
-	for _, n := range s.Regions {
+	for _, n := range s.ByRegion {
 		least = min(least, n)
 	}
 	return least
--- a/pkg/ownership/regions_test.go
+++ b/pkg/ownership/regions_test.go
@@ -12,7 +12,7 @@
 var _ = Describe("parts assigned to regions", func() {
 	regions := ownership.NewRegions(map[string]string{"a1": "north", "a2": "north", "b1": "south", "c1": "west"})
 	supply := func(all, north, south, west int) ownership.EndpointCounts {
-		return ownership.EndpointCounts{Total: all, Regions: map[string]int{"north": north, "south": south, "west": west}}
+		return ownership.EndpointCounts{Total: all, ByRegion: map[string]int{"north": north, "south": south, "west": west}}
 	}
 
 	It("are determined by their number", func() {
@@ -44,8 +44,8 @@
 		Entry("one has too few", supply(15, 7, 6, 2), 2),
 		Entry("one has none", supply(12, 6, 6, 0), 2),
 		Entry("two regions, one with too few: two parts would be assigned to regions",
-			ownership.EndpointCounts{Total: 14, Regions: map[string]int{"north": 12, "south": 2}}, 1),
-		Entry("one region", ownership.EndpointCounts{Total: 40, Regions: map[string]int{"north": 40}}, 8),
+			ownership.EndpointCounts{Total: 14, ByRegion: map[string]int{"north": 12, "south": 2}}, 1),
+		Entry("one region", ownership.EndpointCounts{Total: 40, ByRegion: map[string]int{"north": 40}}, 8),
 	)
 
 	It("are kept while a region lacks a few endpoints, and dropped when it has far too few", func() {
--- a/service/handover/divisions.go
+++ b/service/handover/divisions.go
@@ -51,7 +51,7 @@
 	if !d.regions.AssignsParts(d.current().Parts) {
 		return []string{""}
 	}
-	supply := d.supply().Regions
+	supply := d.supply().ByRegion
 	weight := func(region string) uint64 {
 		if region == d.homeRegion {
 			return math.MaxUint64
--- a/service/handover/regions_test.go
+++ b/service/handover/regions_test.go
@@ -67,7 +67,7 @@
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
 		client = &refusingCaller{regions: regions, busy: map[string]bool{}}
-		supply = ownership.EndpointCounts{Total: 15, Regions: map[string]int{"north": 5, "south": 5, "west": 5}}
+		supply = ownership.EndpointCounts{Total: 15, ByRegion: map[string]int{"north": 5, "south": 5, "west": 5}}
 		var live []membership.Member
 		for n := 1; n < 12; n++ {
 			live = append(live, membership.Member{Self: member(n), State: membership.Live})
@@ -112,7 +112,7 @@
 	})
 
 	It("run in another region while the home region lacks endpoints for a stage", func() {
-		supply.Regions["north"] = 0
+		supply.ByRegion["north"] = 0
 		Expect(run(1).Reason).To(BeEmpty())
 		Expect(client.regionsAsked).To(HaveLen(1))
 		Expect(client.regionsAsked[0]).NotTo(Equal("north"))
@@ -132,7 +132,7 @@
 
 	It("use parts without regions if there is only one region", func() {
 		router.divisions.regions, router.owners.regions = ownership.NewRegions(map[string]string{"zone-0": "north", "zone-1": "north"}), ownership.Regions{}
-		supply = ownership.EndpointCounts{Total: 15, Regions: map[string]int{"north": 15}}
+		supply = ownership.EndpointCounts{Total: 15, ByRegion: map[string]int{"north": 15}}
 		Expect(router.divisions.regionsFor("request")).To(Equal([]string{""}))
 		Expect(router.divisions.partOf("request", "").Of).To(Equal(2))
 	})
