--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -235,18 +235,18 @@
 	g.batcher.ByRegion(g.regions)
 	planner := pipeline.NewPlanner(g.batcher, g.clock, g.metrics, g.logs.For("pipeline"))
 	g.router = handover.NewRouter(handover.Options{
-		Self:          self,
-		Live:          g.group.Live,
-		Leaving:       g.group.Leaving,
-		SendHeartbeat: g.group.TellAll,
-		Contacts:      s.Peers,
-		Client:        g.client,
-		Planner:       planner,
-		Batcher:       g.batcher,
-		Supply:        g.supply,
-		Regions:       g.regions,
-		Clock:         g.clock,
-		Log:           g.logs.For("handover"),
+		Self:           self,
+		Live:           g.group.Live,
+		Leaving:        g.group.Leaving,
+		SendHeartbeat:  g.group.TellAll,
+		Contacts:       s.Peers,
+		Client:         g.client,
+		Planner:        planner,
+		Batcher:        g.batcher,
+		EndpointCounts: g.supply,
+		Regions:        g.regions,
+		Clock:          g.clock,
+		Log:            g.logs.For("handover"),
 	})
 	conducting := &handover.RolloutPeers{Client: g.client, Instance: self, Live: g.group.Live}
 	g.rollouts = rollout.NewKeeper(rolling{g.follower}, conducting, g.store, s.Rollouts.Share, g.clock, g.logs.For("rollout"))
--- a/service/handover/failures_test.go
+++ b/service/handover/failures_test.go
@@ -60,7 +60,7 @@
 
 // newTestRouter returns the router of an instance that knows no peers.
 func newTestRouter(planner *pipeline.Planner, clock clockwork.Clock) *Router {
-	return NewRouter(Options{Self: self(0), Planner: planner, Clock: clock, Log: logging.Discard().For("handover"), Live: func() []membership.Member { return nil }, Supply: func() ownership.EndpointCounts { return ownership.EndpointCounts{Total: 1} }})
+	return NewRouter(Options{Self: self(0), Planner: planner, Clock: clock, Log: logging.Discard().For("handover"), Live: func() []membership.Member { return nil }, EndpointCounts: func() ownership.EndpointCounts { return ownership.EndpointCounts{Total: 1} }})
 }
 
 var _ = Describe("plans of other instances", func() {
--- a/service/handover/instance_test.go
+++ b/service/handover/instance_test.go
@@ -453,14 +453,14 @@
 	i.endpoints.Store(1)
 	i.client = peers.NewClient(i.self.Name, testToken, nil)
 	i.router = NewRouter(Options{
-		Self:    i.self,
-		Live:    func() []membership.Member { return i.with(membership.Live) },
-		Leaving: func() []membership.Member { return i.with(membership.Leaving) },
-		Client:  partitionableCaller{i},
-		Planner: pipeline.NewPlanner(i.pieces, clock, metrics.NewSet(), logging.Discard().For("pipeline")),
-		Supply:  func() ownership.EndpointCounts { return ownership.EndpointCounts{Total: int(i.endpoints.Load())} },
-		Clock:   clock,
-		Log:     logging.Discard().For("handover"),
+		Self:           i.self,
+		Live:           func() []membership.Member { return i.with(membership.Live) },
+		Leaving:        func() []membership.Member { return i.with(membership.Leaving) },
+		Client:         partitionableCaller{i},
+		Planner:        pipeline.NewPlanner(i.pieces, clock, metrics.NewSet(), logging.Discard().For("pipeline")),
+		EndpointCounts: func() ownership.EndpointCounts { return ownership.EndpointCounts{Total: int(i.endpoints.Load())} },
+		Clock:          clock,
+		Log:            logging.Discard().For("handover"),
 	})
 	i.server = peers.NewServer(unconfiguredHandler{NewHandler(i.router, nil, nil, nil)}, testToken, nil, logging.Discard().For("peers"))
 	go i.server.Serve(listener)
--- a/service/handover/regions_test.go
+++ b/service/handover/regions_test.go
@@ -77,8 +77,8 @@
 			// The small machine ranks last, so that all plans go to peers.
 			Self: membership.Self{Name: "i0", PeerAddress: "address-0", FailureDomain: "zone-0", Machine: membership.Machine{Cores: 0.001}},
 			Live: func() []membership.Member { return live }, Client: client,
-			Planner: pipeline.NewPlanner(pieces, clock, metrics.NewSet(), logging.Discard().For("pipeline")),
-			Supply:  func() ownership.EndpointCounts { return supply }, Regions: regions, Clock: clock, Log: logging.Discard().For("handover"),
+			Planner:        pipeline.NewPlanner(pieces, clock, metrics.NewSet(), logging.Discard().For("pipeline")),
+			EndpointCounts: func() ownership.EndpointCounts { return supply }, Regions: regions, Clock: clock, Log: logging.Discard().For("handover"),
 		})
 		for n := range live {
 			live[n].Machine = membership.Machine{Cores: 1}
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -77,9 +77,9 @@
 	Client   caller
 	Planner  *pipeline.Planner
 	Batcher  *batch.Batcher
-	// Supply returns the endpoint counts. Regions maps failure domains to regions.
-	Supply  func() ownership.EndpointCounts
-	Regions ownership.Regions
+	// EndpointCounts returns the endpoint counts. Regions maps failure domains to regions.
+	EndpointCounts func() ownership.EndpointCounts
+	Regions        ownership.Regions
 	// SendHeartbeat triggers a heartbeat after this instance changed an owner or the division. If nil, the
 	// change goes out with the next regular heartbeat.
 	SendHeartbeat func()
@@ -104,7 +104,7 @@
 	if broadcast == nil {
 		broadcast = func() {}
 	}
-	r.divisions = &divisions{clock: o.Clock, log: o.Log, supply: o.Supply, regions: o.Regions, homeRegion: o.Regions.OfDomain(o.Self.FailureDomain), onDecision: broadcast, onChange: func(d ownership.Division) { go r.applyDivision(d) }}
+	r.divisions = &divisions{clock: o.Clock, log: o.Log, supply: o.EndpointCounts, regions: o.Regions, homeRegion: o.Regions.OfDomain(o.Self.FailureDomain), onDecision: broadcast, onChange: func(d ownership.Division) { go r.applyDivision(d) }}
 	r.claims = newClaims(o.Clock, o.Log, o.Self.Owner())
 	r.claims.onChange, r.claims.onLost, r.claims.prefersOwner = broadcast, r.yield, r.owners.prefersOwner
 	r.claims.onWon = func(won ownership.Claim) { r.planner.Resume(won.Part) }
