--- a/pkg/bootclock/boot_linux.go
+++ b/pkg/bootclock/boot_linux.go
@@ -6,8 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// sinceBoot returns the time since the machine started, suspensions included; 0 for good if the system
-// does not tell it.
+// sinceBoot returns the time since boot, including suspensions, or 0 if it is unavailable.
 func sinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/pkg/bootclock/clock_test.go
+++ b/pkg/bootclock/clock_test.go
@@ -14,47 +14,47 @@
 	RunSpecs(t, "bootclock")
 }
 
-// machine has clocks that a test moves.
-type machine struct {
+// fakeMachine has clocks that are set by the test.
+type fakeMachine struct {
 	mu        sync.Mutex
 	start     time.Time
-	steady    time.Duration
+	monotonic time.Duration
 	suspended time.Duration
-	set       time.Duration
+	adjusted  time.Duration
 	noBoot    bool
 }
 
-func (m *machine) change(do func()) {
+func (m *fakeMachine) change(do func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	do()
 }
 
-func (m *machine) readings() readings {
+func (m *fakeMachine) readings() sources {
 	locked := func(read func() time.Duration) time.Duration {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		return read()
 	}
-	return readings{
-		now: func() time.Time { return m.start.Add(locked(func() time.Duration { return m.steady })) },
-		ahead: func(time.Time, time.Time) time.Duration {
-			return locked(func() time.Duration { return m.suspended + m.set })
+	return sources{
+		now: func() time.Time { return m.start.Add(locked(func() time.Duration { return m.monotonic })) },
+		wallDrift: func(time.Time, time.Time) time.Duration {
+			return locked(func() time.Duration { return m.suspended + m.adjusted })
 		},
-		boot: func() time.Duration {
+		sinceBoot: func() time.Duration {
 			return locked(func() time.Duration {
 				if m.noBoot {
 					return 0
 				}
-				return time.Hour + m.steady + m.suspended
+				return time.Hour + m.monotonic + m.suspended
 			})
 		},
 	}
 }
 
-var _ = Describe("a clock that goes on while the machine is suspended", func() {
+var _ = Describe("a clock that includes suspensions", func() {
 	var (
-		m    *machine
+		m    *fakeMachine
 		told []time.Duration
 	)
 
@@ -63,12 +63,12 @@
 		return newClock(m.readings(), func(span time.Duration) { told = append(told, span) })
 	}
 
-	BeforeEach(func() { m = &machine{start: time.Now()} })
+	BeforeEach(func() { m = &fakeMachine{start: time.Now()} })
 
-	It("counts a suspension with its next reading, and once", func() {
+	It("includes a suspension in the next reading, once", func() {
 		c := clock()
 		begin := c.Now()
-		m.change(func() { m.steady, m.suspended = time.Second, 5*time.Second })
+		m.change(func() { m.monotonic, m.suspended = time.Second, 5*time.Second })
 		for range 3 {
 			Expect(c.Since(begin)).To(Equal(6 * time.Second))
 			Expect(c.Until(begin)).To(Equal(-6 * time.Second))
@@ -78,35 +78,35 @@
 		Expect(told).To(Equal([]time.Duration{5 * time.Second, 2 * time.Second}))
 	})
 
-	It("notices within a tenth of a second one that the time of day hides, set back as it was", func() {
+	It("detects within readInterval a suspension hidden by a wall clock adjustment", func() {
 		c := clock()
 		begin := c.Now()
-		m.change(func() { m.suspended, m.set = 5*time.Second, -5*time.Second })
+		m.change(func() { m.suspended, m.adjusted = 5*time.Second, -5*time.Second })
 		Expect(c.Since(begin)).To(BeZero())
-		m.change(func() { m.steady = lookEach })
-		Expect(c.Since(begin)).To(Equal(lookEach + 5*time.Second))
+		m.change(func() { m.monotonic = readInterval })
+		Expect(c.Since(begin)).To(Equal(readInterval + 5*time.Second))
 	})
 
-	It("takes a time of day that is set for no suspension", func() {
+	It("does not take a wall clock adjustment for a suspension", func() {
 		c := clock()
 		begin := c.Now()
 		for _, set := range []time.Duration{2 * time.Second, -2 * time.Second, time.Hour} {
-			m.change(func() { m.set, m.steady = set, m.steady+time.Second })
+			m.change(func() { m.adjusted, m.monotonic = set, m.monotonic+time.Second })
 			c.Now()
 		}
 		Expect(c.Since(begin)).To(Equal(3 * time.Second))
 		Expect(told).To(BeEmpty())
 	})
 
-	It("goes by the steady clock where the system does not tell the boot time", func() {
+	It("uses the monotonic clock if the boot time is unavailable", func() {
 		m.noBoot = true
 		c := clock()
 		begin := c.Now()
-		m.change(func() { m.noBoot, m.steady, m.suspended = false, time.Second, time.Minute })
+		m.change(func() { m.noBoot, m.monotonic, m.suspended = false, time.Second, time.Minute })
 		Expect(c.Since(begin)).To(Equal(time.Second))
 	})
 
-	It("calls what was due while the machine was suspended at once, and no sooner what was not", func() {
+	It("fires timers that expired during a suspension immediately, and no others", func() {
 		c := clock()
 		due, later, stopped := make(chan struct{}), make(chan struct{}), make(chan struct{})
 		c.AfterFunc(time.Minute, func() { close(due) })
@@ -122,7 +122,7 @@
 		Expect(stopped).NotTo(BeClosed())
 	})
 
-	It("has timers that fire, and that can be set again", func() {
+	It("has timers that fire and can be reset", func() {
 		c := clock()
 		fired := make(chan struct{}, 2)
 		timer := c.AfterFunc(time.Millisecond, func() { fired <- struct{}{} })
@@ -132,20 +132,20 @@
 		Expect(c.pending).To(BeEmpty())
 	})
 
-	It("agrees with the boot time of this machine", func() {
+	It("agrees with the boot time of the host", func() {
 		c := New(func(time.Duration) {})
 		begin := c.Now()
 		beganAt := sinceBoot()
 		for range 100 {
 			before := sinceBoot()
 			elapsed := c.Since(begin)
-			Expect(elapsed).To(BeNumerically(">=", before-beganAt-leastSpan))
+			Expect(elapsed).To(BeNumerically(">=", before-beganAt-minSuspension))
 			time.Sleep(time.Millisecond)
 		}
 	})
 })
 
-// BenchmarkNow is a reading: 105 ns, where one of Go's own clock, which stood here before, takes 72 ns.
+// BenchmarkNow measures a reading; BenchmarkGoNow is the baseline.
 func BenchmarkNow(b *testing.B) {
 	c := New(func(time.Duration) {})
 	for b.Loop() {
--- a/pkg/bootclock/timer.go
+++ b/pkg/bootclock/timer.go
@@ -16,8 +16,8 @@
 
 var _ clockwork.Timer = (*timer)(nil)
 
-// AfterFunc implements clockwork.Clock. The function is called as soon as a suspension is noticed in
-// which its time has passed.
+// AfterFunc implements clockwork.Clock. If the timer expires during a suspension, the function is
+// called when the suspension is detected.
 func (c *Clock) AfterFunc(d time.Duration, f func()) clockwork.Timer {
 	t := &timer{clock: c, call: f}
 	now := c.Now()
@@ -29,15 +29,15 @@
 	return t
 }
 
-// fire calls the function, unless that was done or stopped.
+// fire calls the function unless the timer has fired or was stopped.
 func (t *timer) fire() {
-	if t.take() {
+	if t.remove() {
 		t.call()
 	}
 }
 
-// take tells whether the timer was pending, and takes it out.
-func (t *timer) take() bool {
+// remove removes the timer from the pending ones and reports whether it was pending.
+func (t *timer) remove() bool {
 	t.clock.mu.Lock()
 	defer t.clock.mu.Unlock()
 	_, pending := t.clock.pending[t]
@@ -45,12 +45,12 @@
 	return pending
 }
 
-// Chan implements clockwork.Timer: there is none, as for the timers of time.AfterFunc.
+// Chan implements clockwork.Timer. It returns nil, as for timers of time.AfterFunc.
 func (t *timer) Chan() <-chan time.Time { return nil }
 
 // Stop implements clockwork.Timer.
 func (t *timer) Stop() bool {
-	pending := t.take()
+	pending := t.remove()
 	t.real.Stop()
 	return pending
 }
@@ -67,8 +67,8 @@
 	return pending
 }
 
-// catchUp has the timers whose time has passed called, and the others moved by what was suspended.
-func (c *Clock) catchUp() {
+// resetTimers resets all pending timers after a suspension, so that expired ones fire immediately.
+func (c *Clock) resetTimers() {
 	now := c.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
