--- a/pkg/membership/machine.go
+++ b/pkg/membership/machine.go
@@ -12,10 +12,10 @@
 // Machines come in a few sizes that differ by larger factors.
 const capableFraction = 0.5
 
-// Able reports which machines are large enough to plan for the whole cluster: those with at least
+// Capable reports which machines are large enough to plan for the whole cluster: those with at least
 // half of the largest machine's capacity, by the scarcer of processor and link. A resource that is
 // unknown for all machines is ignored. At least one machine is always capable.
-func Able(machines []Machine) []bool {
+func Capable(machines []Machine) []bool {
 	var most Machine
 	for _, m := range machines {
 		most.Cores = max(most.Cores, m.Cores)
--- a/pkg/membership/machine_test.go
+++ b/pkg/membership/machine_test.go
@@ -13,7 +13,7 @@
 
 	DescribeTable("have at least half of the largest capacity",
 		func(machines []membership.Machine, able []bool) {
-			Expect(membership.Able(machines)).To(Equal(able))
+			Expect(membership.Capable(machines)).To(Equal(able))
 		},
 		Entry("two sizes", []membership.Machine{small, large, small, large}, []bool{false, true, false, true}),
 		Entry("one size", []membership.Machine{small, small}, []bool{true, true}),
--- a/service/handover/owners.go
+++ b/service/handover/owners.go
@@ -192,7 +192,7 @@
 	for i, candidate := range list {
 		machines[i] = candidate.Machine
 	}
-	for i, able := range membership.Able(machines) {
+	for i, able := range membership.Capable(machines) {
 		list[i].capable = able
 	}
 	slices.SortFunc(list, func(a, b owner) int {
