--- a/pkg/membership/members.go
+++ b/pkg/membership/members.go
@@ -90,8 +90,8 @@
 	Self
 	State    State
 	Revision uint64
-	// Heard is when the last heartbeat was received.
-	Heard time.Time
+	// LastHeartbeat is when the last heartbeat was received.
+	LastHeartbeat time.Time
 	// Since is when the state last changed.
 	Since    time.Time
 	sequence uint64
@@ -178,7 +178,7 @@
 	}
 	before := member.State
 	member.sequence = h.Sequence
-	member.Heard = now
+	member.LastHeartbeat = now
 	m.changed = m.changed || isNew || h.Revision > member.Revision
 	member.Revision = max(member.Revision, h.Revision)
 	clear(member.witnesses)
@@ -240,7 +240,7 @@
 func (m *Members) Tick(now time.Time) []Change {
 	var changes []Change
 	for _, member := range m.sorted() {
-		silence := now.Sub(member.Heard)
+		silence := now.Sub(member.LastHeartbeat)
 		if silence > forgetFactor*m.timeout(member) {
 			delete(m.members, member.Name)
 			m.addContact(member.PeerAddress, now)
@@ -283,7 +283,7 @@
 
 // isMissing reports whether a member has been silent for longer than its timeout.
 func (m *Members) isMissing(now time.Time, member *Member) bool {
-	return now.Sub(member.Heard) > m.timeout(member)
+	return now.Sub(member.LastHeartbeat) > m.timeout(member)
 }
 
 // timeout returns the silence after which a member is missed. Members of other failure domains
--- a/pkg/membership/members_test.go
+++ b/pkg/membership/members_test.go
@@ -181,7 +181,7 @@
 			for _, old := range []membership.Heartbeat{beat(2, 7), beat(2, 3), beat(1, 99)} {
 				Expect(m.Observe(start.Add(time.Second), old)).To(BeEmpty())
 			}
-			Expect(m.List()[0].Heard).To(Equal(start))
+			Expect(m.List()[0].LastHeartbeat).To(Equal(start))
 			Expect(m.List()[0].Revision).To(Equal(uint64(9)))
 		})
 
