--- a/pkg/membership/members.go
+++ b/pkg/membership/members.go
@@ -92,9 +92,9 @@
 	Revision uint64
 	// LastHeartbeat is when the last heartbeat was received.
 	LastHeartbeat time.Time
-	// Since is when the state last changed.
-	Since    time.Time
-	sequence uint64
+	// StateSince is when the state last changed.
+	StateSince time.Time
+	sequence   uint64
 	// witnesses maps the instances that miss the member to the time of their last report.
 	witnesses map[string]time.Time
 }
@@ -187,7 +187,7 @@
 		member.State = Leaving
 	}
 	if member.State != before {
-		member.Since = now
+		member.StateSince = now
 		changes = append(changes, Change{Member: member.Self, State: member.State, New: isNew})
 	}
 	m.changed = m.changed || len(changes) > 0
@@ -249,7 +249,7 @@
 		}
 		if member.State == Live && m.shouldSuspect(now, member) {
 			member.State = Suspected
-			member.Since = now
+			member.StateSince = now
 			changes = append(changes, Change{Member: member.Self, State: Suspected})
 		}
 	}
--- a/service/handover/instance_test.go
+++ b/service/handover/instance_test.go
@@ -199,7 +199,7 @@
 	defer i.mu.Unlock()
 	for n := range i.members {
 		if i.members[n].Name == other.self.Name {
-			i.members[n].State, i.members[n].Since = state, since
+			i.members[n].State, i.members[n].StateSince = state, since
 		}
 	}
 }
--- a/service/handover/transfer.go
+++ b/service/handover/transfer.go
@@ -151,9 +151,9 @@
 		return nil
 	}
 	list := slices.DeleteFunc(slices.Clone(o.leavingMembers()), func(m membership.Member) bool {
-		return o.suspected(m.PeerAddress) || m.Since.Sub(*leftAt) < minLeaveGap
+		return o.suspected(m.PeerAddress) || m.StateSince.Sub(*leftAt) < minLeaveGap
 	})
-	slices.SortFunc(list, func(a, b membership.Member) int { return b.Since.Compare(a.Since) })
+	slices.SortFunc(list, func(a, b membership.Member) int { return b.StateSince.Compare(a.StateSince) })
 	return list
 }
 
