--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -183,7 +183,7 @@
 		case <-g.news:
 			g.beat(members)
 		case <-g.decision:
-			g.send(members.NextToAll(), endsSeldom)
+			g.send(members.Broadcast(), endsSeldom)
 		case <-ticker.Chan():
 			g.tell(members.Tick(g.clock.Now()))
 			g.beat(members)
--- a/pkg/membership/members.go
+++ b/pkg/membership/members.go
@@ -393,8 +393,8 @@
 	return due
 }
 
-// NextToAll returns a heartbeat to all members, without a member list.
-func (m *Members) NextToAll() Message {
+// Broadcast returns a heartbeat to all members, without a member list.
+func (m *Members) Broadcast() Message {
 	m.sequence++
 	var to []string
 	for _, member := range m.sorted() {
