--- a/cmd/cobaltcroftd/daemon/services.go
+++ b/cmd/cobaltcroftd/daemon/services.go
@@ -69,9 +69,9 @@
 	listener net.Listener
 	client   *peers.Client
 	gossip   *peers.Gossip
-	self     membership.Self
+	self     membership.Instance
 	// behind is set by the config service, which starts later.
-	behind atomic.Pointer[func(membership.Self)]
+	behind atomic.Pointer[func(membership.Instance)]
 }
 
 // Start implements kernel.Service.
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	s.self = membership.Self{
+	s.self = membership.Instance{
 		Name:          b.settings.Instance,
 		Incarnation:   b.incarnation,
 		FailureDomain: b.settings.FailureDomain,
@@ -96,7 +96,7 @@
 		s.self.PeerAddress = advertised
 	}
 	s.client = peers.NewClient(b.settings.Instance, b.settings.Tokens.Peers, b.usage)
-	s.gossip = peers.NewGossip(s.udp, b.settings.Tokens.Peers, b.ring.Clock(), b.shares, b.metrics, log, func(peer membership.Self, _ uint64) {
+	s.gossip = peers.NewGossip(s.udp, b.settings.Tokens.Peers, b.ring.Clock(), b.shares, b.metrics, log, func(peer membership.Instance, _ uint64) {
 		if behind := s.behind.Load(); behind != nil {
 			(*behind)(peer)
 		}
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func controlSettings(s settings.Settings, self membership.Self) control.Settings {
+func controlSettings(s settings.Settings, self membership.Instance) control.Settings {
 	return control.Settings{
 		FailureDomain: s.FailureDomain,
 		Policy:        decision.Policy(s.Policy),
@@ -225,7 +225,7 @@
 	store := config.NewStore(platformService.keyValue, s.replica)
 	s.submitter = config.NewSubmitter(store)
 	s.follower = config.NewFollower(followerOptions(b, control, peersService), store)
-	behind := func(peer membership.Self) { s.follower.Behind(peerOf(peer)) }
+	behind := func(peer membership.Instance) { s.follower.Behind(peerOf(peer)) }
 	peersService.behind.Store(&behind)
 	t.Go(func() error {
 		s.submitter.Run(t.Context(context.Background()))
@@ -249,7 +249,7 @@
 	}
 }
 
-func peerOf(m membership.Self) config.Peer {
+func peerOf(m membership.Instance) config.Peer {
 	return config.Peer{Name: m.Name, FailureDomain: m.FailureDomain, Address: m.PeerAddress}
 }
 
@@ -257,7 +257,7 @@
 	var live []config.Peer
 	for _, m := range members {
 		if m.State == membership.Live {
-			live = append(live, peerOf(m.Self))
+			live = append(live, peerOf(m.Instance))
 		}
 	}
 	return live
--- a/cmd/cobaltcroftd/gateway/behind_test.go
+++ b/cmd/cobaltcroftd/gateway/behind_test.go
@@ -30,7 +30,7 @@
 	clock := clockwork.NewRealClock()
 	gossip := peers.NewGossip(conn, "a shared token", timeline.NewClock(clock), limits.NewShares(clock), metrics.NewSet(), logging.Discard().For("peers"), nil)
 	DeferCleanup(gossip.Close)
-	self := membership.Self{Name: "teller", Incarnation: 1, FailureDomain: "zone-a", PeerAddress: conn.LocalAddr().String()}
+	self := membership.Instance{Name: "teller", Incarnation: 1, FailureDomain: "zone-a", PeerAddress: conn.LocalAddr().String()}
 	return &teller{gossip: gossip, heartbeat: membership.Heartbeat{From: self, Revision: revision}, to: to}
 }
 
--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -201,7 +201,7 @@
 func (g *Gateway) assemble() {
 	s := g.settings
 	g.regions = ownership.NewRegions(s.Regions)
-	self := membership.Self{
+	self := membership.Instance{
 		Name:          s.Instance,
 		Incarnation:   uint64(g.clock.Now().UnixNano()),
 		FailureDomain: s.FailureDomain,
@@ -218,7 +218,7 @@
 	g.metrics.NewGauge("cobaltcroft_quarantined_requests", func() float64 { return float64(g.quarantine.Held()) })
 	g.usage = peers.NewUsage(g.metrics)
 	g.client = peers.NewClient(s.Instance, s.PeerToken, g.usage)
-	g.gossip = peers.NewGossip(g.listeners.heartbeat, s.PeerToken, timeline.NewClock(g.clock), limits.NewShares(g.clock), g.metrics, g.logs.For("peers"), func(membership.Self, uint64) {})
+	g.gossip = peers.NewGossip(g.listeners.heartbeat, s.PeerToken, timeline.NewClock(g.clock), limits.NewShares(g.clock), g.metrics, g.logs.For("peers"), func(membership.Instance, uint64) {})
 	g.group = group.New(g.groupSettings(self), g.gossip, g.clock, g.logs.For("peers"))
 	g.follower = discovery.New(g.store, &handover.DiscoveryPeers{Client: g.client, Self: self, Live: g.group.Live, Contacts: s.Peers, SendHeartbeat: g.group.Tell}, g.clock, g.logs.For("discovery"))
 	g.unread = g.metrics.NewCounter("cobaltcroft_notices_unread_total")
--- a/cmd/cobaltcroftd/gateway/telling.go
+++ b/cmd/cobaltcroftd/gateway/telling.go
@@ -10,7 +10,7 @@
 
 // groupSettings say what this instance tells the others with its heartbeats, and what becomes of what they
 // tell.
-func (g *Gateway) groupSettings(self membership.Self) group.Settings {
+func (g *Gateway) groupSettings(self membership.Instance) group.Settings {
 	return group.Settings{
 		Self:           self,
 		Contacts:       g.settings.Peers,
--- a/pkg/control/control.go
+++ b/pkg/control/control.go
@@ -40,7 +40,7 @@
 	MaxQueue      int
 	Seed          uint64
 	// Self is this instance as its peers see it.
-	Self membership.Self
+	Self membership.Instance
 	// Contacts are peer addresses to begin with.
 	Contacts []string
 	// Heartbeat is the time between heartbeats, SuspectAfter the silence after
@@ -55,7 +55,7 @@
 	// Broadcast sends a heartbeat to the addresses.
 	Broadcast(h membership.Heartbeat, leaving []LeavingEndpoint, to []string)
 	// Behind says that a peer has a newer configuration in force.
-	Behind(peer membership.Self, revision uint64)
+	Behind(peer membership.Instance, revision uint64)
 }
 
 // event is what the control goroutine handles.
--- a/pkg/control/peers.go
+++ b/pkg/control/peers.go
@@ -21,7 +21,7 @@
 func (c *Control) Members() []membership.Member { return *c.membersShared.Load() }
 
 // Self returns this instance as its peers see it.
-func (c *Control) Self() membership.Self { return c.settings.Self }
+func (c *Control) Self() membership.Instance { return c.settings.Self }
 
 type heard struct {
 	heartbeat membership.Heartbeat
--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -29,7 +29,7 @@
 
 // Settings of a group's member.
 type Settings struct {
-	Self         membership.Self
+	Self         membership.Instance
 	Contacts     []string
 	Heartbeat    time.Duration
 	SuspectAfter time.Duration
@@ -115,7 +115,7 @@
 }
 
 // Self is this instance.
-func (g *Group) Self() membership.Self { return g.settings.Self }
+func (g *Group) Self() membership.Instance { return g.settings.Self }
 
 // Heard takes a heartbeat in; one for which there is no room counts as lost.
 func (g *Group) Heard(h membership.Heartbeat, departing []control.LeavingEndpoint) {
--- a/pkg/group/group_test.go
+++ b/pkg/group/group_test.go
@@ -92,7 +92,7 @@
 			_ = t.Wait()
 		})
 		for i := range instances {
-			self := membership.Self{Name: fmt.Sprint("i", i), Incarnation: 1, FailureDomain: fmt.Sprint("d", i%4), PeerAddress: fmt.Sprint("a", i)}
+			self := membership.Instance{Name: fmt.Sprint("i", i), Incarnation: 1, FailureDomain: fmt.Sprint("d", i%4), PeerAddress: fmt.Sprint("a", i)}
 			// All know one contact, as from the settings.
 			g := group.New(group.Settings{Self: self, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: 3 * time.Second}, n, clock, logging.Discard().For("peers"))
 			n.groups[self.PeerAddress] = g
@@ -161,8 +161,8 @@
 			t.Kill(nil)
 			_ = t.Wait()
 		})
-		teller := group.New(group.Settings{Self: membership.Self{Name: "teller", PeerAddress: "a0"}, Contacts: []string{"a1"}, Heartbeat: time.Second, SuspectAfter: time.Second, Ends: told}, n, clock, logging.Discard().For("peers"))
-		hearer := group.New(group.Settings{Self: membership.Self{Name: "hearer", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, HeardEnds: func(ends []quarantine.End) { heard <- len(ends) }}, n, clock, logging.Discard().For("peers"))
+		teller := group.New(group.Settings{Self: membership.Instance{Name: "teller", PeerAddress: "a0"}, Contacts: []string{"a1"}, Heartbeat: time.Second, SuspectAfter: time.Second, Ends: told}, n, clock, logging.Discard().For("peers"))
+		hearer := group.New(group.Settings{Self: membership.Instance{Name: "hearer", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, HeardEnds: func(ends []quarantine.End) { heard <- len(ends) }}, n, clock, logging.Discard().For("peers"))
 		n.groups["a0"], n.groups["a1"] = teller, hearer
 		t.Go(func() error { return teller.Run(&t) })
 		t.Go(func() error { return hearer.Run(&t) })
@@ -197,8 +197,8 @@
 			_ = t.Wait()
 		})
 		departing := func(n int) []string { return []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}[:n] }
-		teller := group.New(group.Settings{Self: membership.Self{Name: "teller", PeerAddress: "a0"}, Contacts: []string{"a1"}, Heartbeat: time.Second, SuspectAfter: time.Second, Departing: departing}, n, clock, logging.Discard().For("peers"))
-		hearer := group.New(group.Settings{Self: membership.Self{Name: "hearer", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, HeardDeparting: func(lives []string) { heard <- lives }}, n, clock, logging.Discard().For("peers"))
+		teller := group.New(group.Settings{Self: membership.Instance{Name: "teller", PeerAddress: "a0"}, Contacts: []string{"a1"}, Heartbeat: time.Second, SuspectAfter: time.Second, Departing: departing}, n, clock, logging.Discard().For("peers"))
+		hearer := group.New(group.Settings{Self: membership.Instance{Name: "hearer", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, HeardDeparting: func(lives []string) { heard <- lives }}, n, clock, logging.Discard().For("peers"))
 		n.groups["a0"], n.groups["a1"] = teller, hearer
 		t.Go(func() error { return teller.Run(&t) })
 		t.Go(func() error { return hearer.Run(&t) })
--- a/pkg/membership/bench_test.go
+++ b/pkg/membership/bench_test.go
@@ -11,11 +11,11 @@
 // BenchmarkObserve measures processing a heartbeat in a cluster of 295 instances, with a copy of
 // the list after changes.
 func BenchmarkObserve(b *testing.B) {
-	members := membership.New(membership.Self{Name: "self", FailureDomain: "d0"}, 3*time.Second, nil)
+	members := membership.New(membership.Instance{Name: "self", FailureDomain: "d0"}, 3*time.Second, nil)
 	now := time.Now()
 	beat := func(n int, sequence uint64) membership.Heartbeat {
 		name := fmt.Sprintf("instance-%03d", n)
-		return membership.Heartbeat{From: membership.Self{Name: name, FailureDomain: fmt.Sprint("d", n%6), PeerAddress: name}, Sequence: sequence}
+		return membership.Heartbeat{From: membership.Instance{Name: name, FailureDomain: fmt.Sprint("d", n%6), PeerAddress: name}, Sequence: sequence}
 	}
 	for n := range 294 {
 		members.Observe(now, beat(n, 1))
--- a/pkg/membership/members.go
+++ b/pkg/membership/members.go
@@ -51,8 +51,8 @@
 	maxKnownInGreeting = 16
 )
 
-// Self describes an instance in its own heartbeats.
-type Self struct {
+// Instance describes an instance in its own heartbeats.
+type Instance struct {
 	Name          string
 	Incarnation   uint64
 	FailureDomain string
@@ -61,20 +61,20 @@
 }
 
 // Owner returns this instance as the owner of a part.
-func (s Self) Owner() ownership.Owner {
+func (s Instance) Owner() ownership.Owner {
 	return ownership.Owner{Name: s.Name, Incarnation: s.Incarnation, PeerAddress: s.PeerAddress}
 }
 
 // Heartbeat is the periodic message of an instance.
 type Heartbeat struct {
-	From     Self
+	From     Instance
 	Sequence uint64
 	Leaving  bool
 	Revision uint64
 	// Suspects are the members of the sender's failure domain from which it misses heartbeats.
 	Suspects []string
 	// Known are a few live members.
-	Known []Self
+	Known []Instance
 	// Claims are the ownership claims that the sender advertises.
 	Claims []ownership.Claim
 	// Division is the division of the stage endpoints that the sender uses.
@@ -87,7 +87,7 @@
 
 // Member is the state of another instance.
 type Member struct {
-	Self
+	Instance
 	State    State
 	Revision uint64
 	// LastHeartbeat is when the last heartbeat was received.
@@ -101,7 +101,7 @@
 
 // Change is a change of a member's state.
 type Change struct {
-	Member Self
+	Member Instance
 	// State is the new state; empty if the member was removed.
 	State State
 	// New is set if the member was unknown before.
@@ -121,7 +121,7 @@
 
 // Members is the member list of one instance. Not safe for concurrent use.
 type Members struct {
-	self         Self
+	self         Instance
 	suspectAfter time.Duration
 	members      map[string]*Member
 	// pendingGreetings has the addresses of new members, which may not know this instance yet. Each gets the
@@ -135,7 +135,7 @@
 }
 
 // New returns an empty member list that sends heartbeats to the given contacts.
-func New(self Self, suspectAfter time.Duration, contacts []string) *Members {
+func New(self Instance, suspectAfter time.Duration, contacts []string) *Members {
 	m := &Members{self: self, suspectAfter: suspectAfter, members: map[string]*Member{}, contacts: map[string]*contact{}}
 	for _, address := range contacts {
 		m.contacts[address] = &contact{}
@@ -172,7 +172,7 @@
 	if isNew {
 		changes = m.dropSameAddress(h.From)
 		delete(m.contacts, h.From.PeerAddress)
-		member = &Member{Self: h.From, witnesses: map[string]time.Time{}}
+		member = &Member{Instance: h.From, witnesses: map[string]time.Time{}}
 		m.members[h.From.Name] = member
 		m.pendingGreetings = append(m.pendingGreetings, h.From.PeerAddress)
 	}
@@ -188,7 +188,7 @@
 	}
 	if member.State != before {
 		member.StateSince = now
-		changes = append(changes, Change{Member: member.Self, State: member.State, New: isNew})
+		changes = append(changes, Change{Member: member.Instance, State: member.State, New: isNew})
 	}
 	m.changed = m.changed || len(changes) > 0
 	m.recordWitness(now, h)
@@ -205,11 +205,11 @@
 
 // dropSameAddress removes another member with the sender's address, which has been reassigned to
 // the sender.
-func (m *Members) dropSameAddress(from Self) []Change {
+func (m *Members) dropSameAddress(from Instance) []Change {
 	for name, other := range m.members {
 		if name != from.Name && other.PeerAddress == from.PeerAddress {
 			delete(m.members, name)
-			return []Change{{Member: other.Self}}
+			return []Change{{Member: other.Instance}}
 		}
 	}
 	return nil
@@ -244,13 +244,13 @@
 		if silence > forgetFactor*m.timeout(member) {
 			delete(m.members, member.Name)
 			m.addContact(member.PeerAddress, now)
-			changes = append(changes, Change{Member: member.Self})
+			changes = append(changes, Change{Member: member.Instance})
 			continue
 		}
 		if member.State == Live && m.shouldSuspect(now, member) {
 			member.State = Suspected
 			member.StateSince = now
-			changes = append(changes, Change{Member: member.Self, State: Suspected})
+			changes = append(changes, Change{Member: member.Instance, State: Suspected})
 		}
 	}
 	m.changed = m.changed || len(changes) > 0
@@ -369,10 +369,10 @@
 }
 
 // sample returns up to n random live members.
-func (m *Members) sample(n int, random func(n int) int) []Self {
-	var some []Self
+func (m *Members) sample(n int, random func(n int) int) []Instance {
+	var some []Instance
 	for _, member := range pick(m.live(), n, random) {
-		some = append(some, member.Self)
+		some = append(some, member.Instance)
 	}
 	return some
 }
--- a/pkg/membership/members_test.go
+++ b/pkg/membership/members_test.go
@@ -21,8 +21,8 @@
 
 var start = time.Unix(1000, 0)
 
-func instance(name, domain string) membership.Self {
-	return membership.Self{Name: name, Incarnation: 1, FailureDomain: domain, PeerAddress: name}
+func instance(name, domain string) membership.Instance {
+	return membership.Instance{Name: name, Incarnation: 1, FailureDomain: domain, PeerAddress: name}
 }
 
 // cluster exchanges heartbeats once a second, except over cut links.
--- a/pkg/membership/start_test.go
+++ b/pkg/membership/start_test.go
@@ -25,7 +25,7 @@
 	c := &startingCluster{members: map[string]*membership.Members{}, random: rand.New(rand.NewPCG(1, 2)), now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
 	for n := range instances {
 		name := fmt.Sprint("i", n)
-		self := membership.Self{Name: name, Incarnation: 1, FailureDomain: fmt.Sprint("d", n%domains), PeerAddress: name}
+		self := membership.Instance{Name: name, Incarnation: 1, FailureDomain: fmt.Sprint("d", n%domains), PeerAddress: name}
 		c.members[name] = membership.New(self, 3*time.Second, []string{"i0", "i1", "i2"})
 	}
 	return c
--- a/service/handover/discovery.go
+++ b/service/handover/discovery.go
@@ -27,7 +27,7 @@
 // DiscoveryPeers implements discovery.Peers: it fetches configuration and endpoint state from peers.
 type DiscoveryPeers struct {
 	Client *peers.Client
-	Self   membership.Self
+	Self   membership.Instance
 	Live   func() []membership.Member
 	// Contacts are the addresses to use while no member is known.
 	Contacts []string
@@ -92,11 +92,11 @@
 func (k *DiscoveryPeers) ranked(live []membership.Member, domain string) []owner {
 	var list []owner
 	if domain == k.Self.FailureDomain {
-		list = append(list, owner{Self: k.Self, weight: relayWeight(k.Self)})
+		list = append(list, owner{Instance: k.Self, weight: relayWeight(k.Self)})
 	}
 	for _, m := range live {
 		if m.FailureDomain == domain {
-			list = append(list, owner{Self: m.Self, weight: relayWeight(m.Self)})
+			list = append(list, owner{Instance: m.Instance, weight: relayWeight(m.Instance)})
 		}
 	}
 	rank(list)
@@ -118,7 +118,7 @@
 	return best
 }
 
-func relayWeight(s membership.Self) uint64 { return xxhash.Sum64String("relay/" + s.Name) }
+func relayWeight(s membership.Instance) uint64 { return xxhash.Sum64String("relay/" + s.Name) }
 
 // Relay implements discovery.Peers.
 func (k *DiscoveryPeers) Relay(ctx context.Context, relay string, selection discovery.RelaySelect) (discovery.Relayed, error) {
--- a/service/handover/instance_test.go
+++ b/service/handover/instance_test.go
@@ -166,7 +166,7 @@
 
 // instance is an instance with real connections, whose member list is set by the test.
 type instance struct {
-	self     membership.Self
+	self     membership.Instance
 	router   *Router
 	pieces   *heldPieces
 	server   *peers.Server
@@ -289,7 +289,7 @@
 	}
 	for _, i := range all {
 		for _, other := range all.others(i) {
-			i.members = append(i.members, membership.Member{Self: other.self, State: membership.Live})
+			i.members = append(i.members, membership.Member{Instance: other.self, State: membership.Live})
 		}
 	}
 	return all
@@ -410,7 +410,7 @@
 		}
 		for m := range i.members {
 			if i.members[m].Name == old.self.Name {
-				i.members[m] = membership.Member{Self: restarted.self, State: membership.Live}
+				i.members[m] = membership.Member{Instance: restarted.self, State: membership.Live}
 			}
 		}
 	}
@@ -449,7 +449,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	i := &instance{pieces: &heldPieces{}, listener: listener}
-	i.self = membership.Self{Name: fmt.Sprint("i", n), Incarnation: uint64(n), PeerAddress: listener.Addr().String(), FailureDomain: fmt.Sprint("zone-", domain)}
+	i.self = membership.Instance{Name: fmt.Sprint("i", n), Incarnation: uint64(n), PeerAddress: listener.Addr().String(), FailureDomain: fmt.Sprint("zone-", domain)}
 	i.endpoints.Store(1)
 	i.client = peers.NewClient(i.self.Name, testToken, nil)
 	i.router = NewRouter(Options{
--- a/service/handover/owners.go
+++ b/service/handover/owners.go
@@ -55,7 +55,7 @@
 // owners chooses the owner of each part among the live members.
 type owners struct {
 	clock clockwork.Clock
-	self  membership.Self
+	self  membership.Instance
 	live  func() []membership.Member
 	// regions maps failure domains to regions.
 	regions ownership.Regions
@@ -73,13 +73,13 @@
 	suspects map[string]suspicion
 }
 
-func newOwners(clock clockwork.Clock, self membership.Self, live func() []membership.Member, contacts []string) *owners {
+func newOwners(clock clockwork.Clock, self membership.Instance, live func() []membership.Member, contacts []string) *owners {
 	return &owners{clock: clock, self: self, live: live, contacts: contacts, joinedAt: clock.Now().Add(joinPeriod), suspects: map[string]suspicion{}}
 }
 
 // owner is an instance that may own a part.
 type owner struct {
-	membership.Self
+	membership.Instance
 	weight uint64
 	// capable is set if the machine is large enough to plan for the whole cluster.
 	capable bool
@@ -155,12 +155,12 @@
 // rendezvous hashing order for a part.
 func (o *owners) ranked(part pipeline.Part) []owner {
 	name := strconv.Itoa(part.Number) + "/"
-	list := []owner{{Self: o.self, weight: xxhash.Sum64String(name + o.self.Name)}}
+	list := []owner{{Instance: o.self, weight: xxhash.Sum64String(name + o.self.Name)}}
 	live := o.live()
 	unreachable := o.unreachableDomains(live)
 	for _, m := range live {
 		if !o.suspected(m.PeerAddress) && !unreachable[m.FailureDomain] {
-			list = append(list, owner{Self: m.Self, weight: xxhash.Sum64String(name + m.Name)})
+			list = append(list, owner{Instance: m.Instance, weight: xxhash.Sum64String(name + m.Name)})
 		}
 	}
 	rank(list)
--- a/service/handover/owners_test.go
+++ b/service/handover/owners_test.go
@@ -19,8 +19,8 @@
 	RunSpecs(t, "handover")
 }
 
-func self(n int) membership.Self {
-	return membership.Self{Name: fmt.Sprint("i", n), PeerAddress: fmt.Sprint("address-", n), FailureDomain: fmt.Sprint("zone-", n%2)}
+func self(n int) membership.Instance {
+	return membership.Instance{Name: fmt.Sprint("i", n), PeerAddress: fmt.Sprint("address-", n), FailureDomain: fmt.Sprint("zone-", n%2)}
 }
 
 // newTestOwners returns the owners as seen by instance n of the given number, without the instances in
@@ -34,7 +34,7 @@
 				known = known && u != other
 			}
 			if known {
-				live = append(live, membership.Member{Self: self(other), State: membership.Live})
+				live = append(live, membership.Member{Instance: self(other), State: membership.Live})
 			}
 		}
 		return live
--- a/service/handover/rebalancing.go
+++ b/service/handover/rebalancing.go
@@ -69,7 +69,7 @@
 // returned.
 func (o *owners) transferTargets(part pipeline.Part, owned int, holders map[string]bool) []ownership.Owner {
 	var targets []ownership.Owner
-	capable, outside := false, o.outsideRegion(part, owner{Self: o.self})
+	capable, outside := false, o.outsideRegion(part, owner{Instance: o.self})
 	for _, candidate := range o.ranked(part) {
 		if candidate.Name == o.self.Name {
 			capable = candidate.capable
--- a/service/handover/regions_test.go
+++ b/service/handover/regions_test.go
@@ -50,8 +50,8 @@
 		router *Router
 	)
 
-	member := func(n int) membership.Self {
-		return membership.Self{Name: fmt.Sprint("i", n), PeerAddress: fmt.Sprint("address-", n), FailureDomain: fmt.Sprint("zone-", n%3)}
+	member := func(n int) membership.Instance {
+		return membership.Instance{Name: fmt.Sprint("i", n), PeerAddress: fmt.Sprint("address-", n), FailureDomain: fmt.Sprint("zone-", n%3)}
 	}
 	zoneOf := func(address string) string {
 		var n int
@@ -70,12 +70,12 @@
 		supply = ownership.EndpointCounts{Total: 15, ByRegion: map[string]int{"north": 5, "south": 5, "west": 5}}
 		var live []membership.Member
 		for n := 1; n < 12; n++ {
-			live = append(live, membership.Member{Self: member(n), State: membership.Live})
+			live = append(live, membership.Member{Instance: member(n), State: membership.Live})
 		}
 		pieces := &heldPieces{}
 		router = NewRouter(Options{
 			// The small machine ranks last, so that all plans go to peers.
-			Self: membership.Self{Name: "i0", PeerAddress: "address-0", FailureDomain: "zone-0", Machine: membership.Machine{Cores: 0.001}},
+			Self: membership.Instance{Name: "i0", PeerAddress: "address-0", FailureDomain: "zone-0", Machine: membership.Machine{Cores: 0.001}},
 			Live: func() []membership.Member { return live }, Client: client,
 			Planner:        pipeline.NewPlanner(pieces, clock, metrics.NewSet(), logging.Discard().For("pipeline")),
 			EndpointCounts: func() ownership.EndpointCounts { return supply }, Regions: regions, Clock: clock, Log: logging.Discard().For("handover"),
--- a/service/handover/rollouts.go
+++ b/service/handover/rollouts.go
@@ -15,7 +15,7 @@
 // rollouts.
 type RolloutPeers struct {
 	Client   *peers.Client
-	Instance membership.Self
+	Instance membership.Instance
 	Live     func() []membership.Member
 }
 
@@ -32,10 +32,10 @@
 // Conductors implements rollout.Peers. Instances on capable machines come first, in rendezvous
 // hashing order.
 func (c *RolloutPeers) Conductors(service string) []rollout.Peer {
-	weight := func(s membership.Self) uint64 { return xxhash.Sum64String("rollout/" + service + "/" + s.Name) }
-	list := []owner{{Self: c.Instance, weight: weight(c.Instance)}}
+	weight := func(s membership.Instance) uint64 { return xxhash.Sum64String("rollout/" + service + "/" + s.Name) }
+	list := []owner{{Instance: c.Instance, weight: weight(c.Instance)}}
 	for _, m := range c.Live() {
-		list = append(list, owner{Self: m.Self, weight: weight(m.Self)})
+		list = append(list, owner{Instance: m.Instance, weight: weight(m.Instance)})
 	}
 	rank(list)
 	conductors := make([]rollout.Peer, len(list))
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -68,7 +68,7 @@
 
 // Options configure a Router.
 type Options struct {
-	Self membership.Self
+	Self membership.Instance
 	// Live returns the other live members, Leaving those that are leaving. Leaving may be nil.
 	Live    func() []membership.Member
 	Leaving func() []membership.Member
--- a/service/handover/throttling.go
+++ b/service/handover/throttling.go
@@ -13,7 +13,7 @@
 // all instances.
 type ThrottlePeers struct {
 	Client   *peers.Client
-	Instance membership.Self
+	Instance membership.Instance
 	// IsLeaving reports whether this instance is leaving.
 	IsLeaving func() bool
 	// LiveMembers returns the other live members that are not leaving, Departing those that are.
@@ -23,14 +23,14 @@
 
 var _ throttle.Peers = (*ThrottlePeers)(nil)
 
-func throttlePeer(s membership.Self) throttle.Peer {
+func throttlePeer(s membership.Instance) throttle.Peer {
 	return throttle.Peer{Name: s.Name, Address: s.PeerAddress, FailureDomain: s.FailureDomain, Incarnation: s.Incarnation}
 }
 
 func throttlePeers(members []membership.Member) []throttle.Peer {
 	list := make([]throttle.Peer, len(members))
 	for i, m := range members {
-		list[i] = throttlePeer(m.Self)
+		list[i] = throttlePeer(m.Instance)
 	}
 	return list
 }
--- a/service/peers/datagram.go
+++ b/service/peers/datagram.go
@@ -107,7 +107,7 @@
 	}
 	b := datagram{
 		heartbeat: membership.Heartbeat{
-			From: membership.Self{
+			From: membership.Instance{
 				Name:          wire.Instance,
 				Incarnation:   wire.Incarnation,
 				FailureDomain: wire.FailureDomain,
@@ -145,13 +145,13 @@
 		}
 	}
 	for _, k := range wire.Known {
-		b.heartbeat.Known = append(b.heartbeat.Known, membership.Self{Name: k.Instance, PeerAddress: k.PeerAddress, FailureDomain: k.FailureDomain})
+		b.heartbeat.Known = append(b.heartbeat.Known, membership.Instance{Name: k.Instance, PeerAddress: k.PeerAddress, FailureDomain: k.FailureDomain})
 	}
 	return b, nil
 }
 
 // encodeClaim omits the owner if it is the sender.
-func encodeClaim(c ownership.Claim, from membership.Self) *pb.Claim {
+func encodeClaim(c ownership.Claim, from membership.Instance) *pb.Claim {
 	wire := &pb.Claim{Part: uint32(c.Part.Number), Of: uint32(c.Part.Of), Term: c.Term, Provisional: c.Provisional}
 	if c.Owner != from.Owner() {
 		wire.Owner, wire.Incarnation, wire.PeerAddress = c.Owner.Name, c.Owner.Incarnation, c.Owner.PeerAddress
@@ -159,7 +159,7 @@
 	return wire
 }
 
-func decodeClaim(wire *pb.Claim, from membership.Self) ownership.Claim {
+func decodeClaim(wire *pb.Claim, from membership.Instance) ownership.Claim {
 	c := ownership.Claim{Part: ownership.Part{Number: int(wire.Part), Of: int(wire.Of)}, Term: wire.Term, Owner: from.Owner(), Provisional: wire.Provisional}
 	if wire.Owner != "" {
 		c.Owner = ownership.Owner{Name: wire.Owner, Incarnation: wire.Incarnation, PeerAddress: wire.PeerAddress}
--- a/service/peers/datagram_test.go
+++ b/service/peers/datagram_test.go
@@ -20,7 +20,7 @@
 func typicalDatagram() datagram {
 	b := datagram{
 		heartbeat: membership.Heartbeat{
-			From:     membership.Self{Name: "sala-a-17", Incarnation: 1796204992778373772, FailureDomain: "sala-a", PeerAddress: "10.12.13.14:7403", Machine: membership.Machine{Cores: 0.75, LinkMbps: 200}},
+			From:     membership.Instance{Name: "sala-a-17", Incarnation: 1796204992778373772, FailureDomain: "sala-a", PeerAddress: "10.12.13.14:7403", Machine: membership.Machine{Cores: 0.75, LinkMbps: 200}},
 			Sequence: 123456,
 			Division: ownership.Division{Parts: 4, Term: 2},
 			Revision: 3_504_000,
@@ -31,7 +31,7 @@
 	}
 	b.heartbeat.Claims = []ownership.Claim{{Part: ownership.Part{Number: 1, Of: 4}, Term: 7, Owner: b.heartbeat.From.Owner()}}
 	for i := range 1 {
-		b.heartbeat.Known = append(b.heartbeat.Known, membership.Self{Name: fmt.Sprintf("sala-a-%d", i), FailureDomain: "sala-a", PeerAddress: fmt.Sprintf("10.12.13.%d:7403", i)})
+		b.heartbeat.Known = append(b.heartbeat.Known, membership.Instance{Name: fmt.Sprintf("sala-a-%d", i), FailureDomain: "sala-a", PeerAddress: fmt.Sprintf("10.12.13.%d:7403", i)})
 	}
 	return b
 }
--- a/service/peers/gossip.go
+++ b/service/peers/gossip.go
@@ -22,7 +22,7 @@
 	clock    *timeline.Clock
 	shares   *limits.Shares
 	log      *logrus.Entry
-	onBehind func(peer membership.Self, revision uint64)
+	onBehind func(peer membership.Instance, revision uint64)
 	sent     *metrics.Counter
 	received *metrics.Counter
 	refused  *metrics.Counter
@@ -33,7 +33,7 @@
 // NewGossip returns a gossip over conn. Heartbeats carry the demands of shares, which also receives
 // the demands of peers in the same failure domain. onBehind is called when a peer has a newer
 // configuration, and must not block.
-func NewGossip(conn *net.UDPConn, secret string, clock *timeline.Clock, shares *limits.Shares, set *metrics.Set, log *logrus.Entry, onBehind func(membership.Self, uint64)) *Gossip {
+func NewGossip(conn *net.UDPConn, secret string, clock *timeline.Clock, shares *limits.Shares, set *metrics.Set, log *logrus.Entry, onBehind func(membership.Instance, uint64)) *Gossip {
 	return &Gossip{
 		conn:     conn,
 		secret:   []byte(secret),
@@ -74,12 +74,12 @@
 }
 
 // Behind implements control.Peers.
-func (g *Gossip) Behind(peer membership.Self, revision uint64) { g.onBehind(peer, revision) }
+func (g *Gossip) Behind(peer membership.Instance, revision uint64) { g.onBehind(peer, revision) }
 
 // Listener receives heartbeats.
 type Listener interface {
 	// Self is this instance.
-	Self() membership.Self
+	Self() membership.Instance
 	// Heard is called for each heartbeat. It must not block for long.
 	Heard(h membership.Heartbeat, leaving []control.LeavingEndpoint)
 }
--- a/service/peers/gossip_test.go
+++ b/service/peers/gossip_test.go
@@ -18,7 +18,7 @@
 
 type discardListener struct{}
 
-func (discardListener) Self() membership.Self                                 { return membership.Self{} }
+func (discardListener) Self() membership.Instance                             { return membership.Instance{} }
 func (discardListener) Heard(membership.Heartbeat, []control.LeavingEndpoint) {}
 
 // A read loop that continues after its socket is closed would spin.
