--- a/pkg/bootclock/clock.go
+++ b/pkg/bootclock/clock.go
@@ -1,6 +1,6 @@
-// Package bootclock implements a clock that includes the time in which the machine is suspended. Go's
-// monotonic clock stops during a suspension, so that cached state would appear too recent after a
-// resume.
+// Package bootclock implements a clock that includes the time in which the machine is suspended.
+// Go's monotonic clock stops during a suspension, so that cached state would appear too recent
+// after a resume.
 package bootclock
 
 import (
--- a/pkg/membership/machine.go
+++ b/pkg/membership/machine.go
@@ -8,8 +8,8 @@
 	LinkMbps float64
 }
 
-// capableFraction is the least capacity, relative to the largest machine, that counts as equally capable.
-// Machines come in a few sizes that differ by larger factors.
+// capableFraction is the least capacity, relative to the largest machine, that counts as equally
+// capable. Machines come in a few sizes that differ by larger factors.
 const capableFraction = 0.5
 
 // Capable reports which machines are large enough to plan for the whole cluster: those with at least
--- a/pkg/membership/members.go
+++ b/pkg/membership/members.go
@@ -19,8 +19,8 @@
 // States of a member.
 const (
 	Live State = "live"
-	// Suspected members have sent no heartbeat for too long. In the local failure domain this must be
-	// confirmed by other witnesses.
+	// Suspected members have sent no heartbeat for too long. In the local failure domain this must
+	// be confirmed by other witnesses.
 	Suspected State = "suspected"
 	// Leaving members have announced their shutdown.
 	Leaving State = "leaving"
@@ -45,8 +45,9 @@
 	minContactInterval = time.Second
 	maxContactInterval = 4 * time.Second
 	// maxKnown bounds the members listed in a heartbeat, and maxKnownInGreeting those listed in a
-	// heartbeat to new members, which may know nobody else. The larger list makes membership converge quickly
-	// after many instances start together, and still fits into one unfragmented datagram.
+	// heartbeat to new members, which may know nobody else. The larger list makes membership
+	// converge quickly after many instances start together, and still fits into one unfragmented
+	// datagram.
 	maxKnown           = 1
 	maxKnownInGreeting = 16
 )
@@ -124,8 +125,8 @@
 	self         Instance
 	suspectAfter time.Duration
 	members      map[string]*Member
-	// pendingGreetings has the addresses of new members, which may not know this instance yet. Each gets the
-	// next heartbeat.
+	// pendingGreetings has the addresses of new members, which may not know this instance yet. Each
+	// gets the next heartbeat.
 	pendingGreetings []string
 	// contacts are the peer addresses from which no heartbeat has been received yet.
 	contacts map[string]*contact
@@ -257,9 +258,9 @@
 	return changes
 }
 
-// shouldSuspect reports whether to shouldSuspect a member. A member of the local failure domain needs several
-// witnesses; for other failure domains, which send few heartbeats here, this instance's own view is
-// sufficient.
+// shouldSuspect reports whether to shouldSuspect a member. A member of the local failure domain
+// needs several witnesses; for other failure domains, which send few heartbeats here, this
+// instance's own view is sufficient.
 func (m *Members) shouldSuspect(now time.Time, member *Member) bool {
 	if !m.isMissing(now, member) {
 		return false
--- a/pkg/ownership/division.go
+++ b/pkg/ownership/division.go
@@ -28,8 +28,8 @@
 	Term  uint64 `json:"term"`
 }
 
-// Supersedes reports whether a division takes precedence over another. Divisions of the same term come
-// from instances that did not reach each other; the order is the same at all instances.
+// Supersedes reports whether a division takes precedence over another. Divisions of the same term
+// come from instances that did not reach each other; the order is the same at all instances.
 func (d Division) Supersedes(other Division) bool {
 	return cmp.Or(cmp.Compare(d.Term, other.Term), cmp.Compare(d.Parts, other.Parts)) > 0
 }
@@ -44,7 +44,8 @@
 // would change it during each rolling update.
 type Divider struct {
 	agreed Division
-	// proposed is the number of parts called for since the given time, 0 if that is the agreed number.
+	// proposed is the number of parts called for since the given time, 0 if that is the agreed
+	// number.
 	proposed      int
 	proposedSince time.Time
 }
@@ -120,8 +121,8 @@
 	return d.agreed.Parts
 }
 
-// initialParts returns the number of parts for the endpoint counts. Each region gets its own parts if
-// all regions have enough endpoints.
+// initialParts returns the number of parts for the endpoint counts. Each region gets its own parts
+// if all regions have enough endpoints.
 func initialParts(supply EndpointCounts) int {
 	if least := supply.smallestRegion(); least >= endpointsPerPart {
 		return len(supply.ByRegion) * powerOfTwoParts(least)
@@ -134,8 +135,8 @@
 	return parts
 }
 
-// powerOfTwoParts returns the number of parts for a number of endpoints. It is a power of two, so that
-// instances with slightly different counts agree.
+// powerOfTwoParts returns the number of parts for a number of endpoints. It is a power of two, so
+// that instances with slightly different counts agree.
 func powerOfTwoParts(endpoints int) int {
 	parts := 1
 	for 2*parts*endpointsPerPart <= endpoints && parts < maxParts {
--- a/pkg/ownership/division_test.go
+++ b/pkg/ownership/division_test.go
@@ -25,7 +25,7 @@
 		now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	})
 
-	// lookFor calls Look each second for the given time and returns the number of changes.
+	// lookFor calls Update each second for the given time and returns the number of changes.
 	lookFor := func(d *ownership.Divider, endpoints int, lasts time.Duration) int {
 		changes := 0
 		for range int(lasts / time.Second) {
--- a/pkg/ownership/regions.go
+++ b/pkg/ownership/regions.go
@@ -53,7 +53,8 @@
 // PartsPerRegion returns the number of parts per region, in a division that is assigned to regions.
 func (r Regions) PartsPerRegion(parts int) int { return parts / len(r.names) }
 
-// EndpointCounts has the endpoint count of the smallest service that takes pieces: in total, and by region.
+// EndpointCounts has the endpoint count of the smallest service that takes pieces: in total, and by
+// region.
 type EndpointCounts struct {
 	Total    int
 	ByRegion map[string]int
--- a/pkg/ownership/table.go
+++ b/pkg/ownership/table.go
@@ -38,8 +38,8 @@
 	Provisional bool `json:"provisional,omitempty"`
 }
 
-// Supersedes reports whether a claim takes precedence over another claim of the same part. Claims of the
-// same term come from instances that did not reach each other; the order is the same at all
+// Supersedes reports whether a claim takes precedence over another claim of the same part. Claims
+// of the same term come from instances that did not reach each other; the order is the same at all
 // instances, and differs by part to spread the parts over the owners.
 func (c Claim) Supersedes(other Claim) bool {
 	return cmp.Or(
--- a/service/handover/claims.go
+++ b/service/handover/claims.go
@@ -15,7 +15,8 @@
 const (
 	// claimRelayPeriod is how long a claim received from another instance is relayed in heartbeats.
 	claimRelayPeriod = 5 * time.Second
-	// maxRelayedClaims bounds the relayed claims in one heartbeat, since a datagram is limited in size.
+	// maxRelayedClaims bounds the relayed claims in one heartbeat, since a datagram is limited in
+	// size.
 	maxRelayedClaims = 4
 )
 
--- a/service/handover/confirmation.go
+++ b/service/handover/confirmation.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// settleProvisional resolves one provisional claim of this instance and reports whether there is one. Once a
-// majority of the failure domains is reachable, the part goes back to the displaced owner if it
-// responds; otherwise the claim is confirmed.
+// settleProvisional resolves one provisional claim of this instance and reports whether there is
+// one. Once a majority of the failure domains is reachable, the part goes back to the displaced
+// owner if it responds; otherwise the claim is confirmed.
 //
 // The majority is checked first. If a partition heals between the two checks, an owner that was
 // pinged before it healed would wrongly be considered failed.
@@ -111,9 +111,9 @@
 	return domains
 }
 
-// prefersOwner reports whether this instance keeps using an owner whose part is claimed provisionally
-// by another instance. It does if it considers the owner reachable and is not in the claimer's
-// failure domain, which may be partitioned as a whole.
+// prefersOwner reports whether this instance keeps using an owner whose part is claimed
+// provisionally by another instance. It does if it considers the owner reachable and is not in the
+// claimer's failure domain, which may be partitioned as a whole.
 func (o *owners) prefersOwner(owner, claimer ownership.Owner) bool {
 	return o.reachable(owner) && !o.inOwnDomain(claimer)
 }
--- a/service/handover/confirmation_test.go
+++ b/service/handover/confirmation_test.go
@@ -46,8 +46,8 @@
 		return "", nil
 	}
 
-	// claimedInPartition partitions a failure domain, has the part claimed and transferred inside it so that
-	// the term rises, and returns the owner inside the partition.
+	// claimedInPartition partitions a failure domain, has the part claimed and transferred inside
+	// it so that the term rises, and returns the owner inside the partition.
 	claimedInPartition := func(domain string, partitioned group) *instance {
 		GinkgoHelper()
 		all.partition(domain)
--- a/service/handover/discovery.go
+++ b/service/handover/discovery.go
@@ -20,7 +20,8 @@
 	// relaysPerDomain is how many instances of a failure domain relay configuration changes to
 	// the others.
 	relaysPerDomain = 2
-	// maxDirectWatchers is the largest failure domain in which every instance watches the source itself.
+	// maxDirectWatchers is the largest failure domain in which every instance watches the source
+	// itself.
 	maxDirectWatchers = 4
 )
 
--- a/service/handover/divisions_test.go
+++ b/service/handover/divisions_test.go
@@ -35,7 +35,8 @@
 		}
 	}
 
-	// changeDivision raises the number of endpoints and waits until the owner has changed the division.
+	// changeDivision raises the number of endpoints and waits until the owner has changed the
+	// division.
 	changeDivision := func() {
 		setEndpoints(40)
 		owner.router.Tick()
--- a/service/handover/expiry.go
+++ b/service/handover/expiry.go
@@ -6,8 +6,8 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/batch"
 )
 
-// withRemainingTimes prepares results for another instance: since clocks differ, expiry times are sent
-// as remaining durations.
+// withRemainingTimes prepares results for another instance: since clocks differ, expiry times are
+// sent as remaining durations.
 func withRemainingTimes(stages [][]batch.Result, now time.Time) [][]batch.Result {
 	return mapResults(stages, func(r *batch.Result) { r.LeftMs = r.Until.Sub(now).Milliseconds() })
 }
--- a/service/handover/export_test.go
+++ b/service/handover/export_test.go
@@ -2,8 +2,8 @@
 
 import "github.com/cobaltcroft/cobaltcroft/pkg/pipeline"
 
-// ranking returns the peer addresses ranking the instances that rank before this one for a part, followed by
-// its own.
+// ranking returns the peer addresses ranking the instances that rank before this one for a part,
+// followed by its own.
 func (o *owners) ranking(part pipeline.Part) []string {
 	var addresses []string
 	for _, candidate := range o.ranked(part) {
--- a/service/handover/overflow.go
+++ b/service/handover/overflow.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// busyPeriod is how long a region that refused a plan gets no plans of other regions. During a global
-// overload every refused plan would otherwise be retried in every region.
+// busyPeriod is how long a region that refused a plan gets no plans of other regions. During a
+// global overload every refused plan would otherwise be retried in every region.
 const busyPeriod = 300 * time.Millisecond
 
 // busyRegions tracks the regions that refused a plan recently. Safe for concurrent use.
--- a/service/handover/owners.go
+++ b/service/handover/owners.go
@@ -130,7 +130,8 @@
 	return slices.ContainsFunc(list, func(candidate owner) bool { return candidate.PeerAddress == address && candidate.capable })
 }
 
-// firstInDomain returns the address of the first instance in a failure domain; empty if there is none.
+// firstInDomain returns the address of the first instance in a failure domain; empty if there is
+// none.
 func firstInDomain(list []owner, domain string) string {
 	for _, candidate := range list {
 		if candidate.FailureDomain == domain {
@@ -251,8 +252,8 @@
 	o.suspects[address] = s
 }
 
-// startProbe extends the suspicion of an owner while one plan probes it, so that other plans do not wait
-// for an owner that may still be down.
+// startProbe extends the suspicion of an owner while one plan probes it, so that other plans do not
+// wait for an owner that may still be down.
 func (o *owners) startProbe(address string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/service/handover/owners_test.go
+++ b/service/handover/owners_test.go
@@ -23,8 +23,8 @@
 	return membership.Instance{Name: fmt.Sprint("i", n), PeerAddress: fmt.Sprint("address-", n), FailureDomain: fmt.Sprint("zone-", n%2)}
 }
 
-// newTestOwners returns the owners as seen by instance n of the given number, without the instances in
-// unheard.
+// newTestOwners returns the owners as seen by instance n of the given number, without the instances
+// in unheard.
 func newTestOwners(clock clockwork.Clock, n, of int, unheard ...int) *owners {
 	return &owners{clock: clock, self: self(n), suspects: map[string]suspicion{}, live: func() []membership.Member {
 		var live []membership.Member
--- a/service/handover/progress.go
+++ b/service/handover/progress.go
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// progressReporter returns a function that reports completed stages to the instance that handed over a
-// plan. Reports are sent in the background and may be lost; a stage whose report is lost may run
-// again.
+// progressReporter returns a function that reports completed stages to the instance that handed
+// over a plan. Reports are sent in the background and may be lost; a stage whose report is lost may
+// run again.
 func (r *Router) progressReporter(address, call string) func(stage int, results []batch.Result) {
 	if address == "" {
 		return nil
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -80,8 +80,8 @@
 	// EndpointCounts returns the endpoint counts. Regions maps failure domains to regions.
 	EndpointCounts func() ownership.EndpointCounts
 	Regions        ownership.Regions
-	// SendHeartbeat triggers a heartbeat after this instance changed an owner or the division. If nil, the
-	// change goes out with the next regular heartbeat.
+	// SendHeartbeat triggers a heartbeat after this instance changed an owner or the division. If
+	// nil, the change goes out with the next regular heartbeat.
 	SendHeartbeat func()
 	Clock         clockwork.Clock
 	Log           *logrus.Entry
@@ -166,8 +166,8 @@
 	return pipeline.Outcome{Reason: batch.Late}
 }
 
-// runOnOwner runs a plan on the owner of a part. It returns batch.Moved if the plan maps to another part
-// by now.
+// runOnOwner runs a plan on the owner of a part. It returns batch.Moved if the plan maps to another
+// part by now.
 func (r *Router) runOnOwner(ctx context.Context, part pipeline.Part, plan pipeline.Plan) pipeline.Outcome {
 	excluded := map[string]bool{}
 	unresponsive := 0
@@ -194,8 +194,8 @@
 	return r.runLocally(ctx, part, plan, unresponsive < partitionThreshold && r.shouldClaim(part))
 }
 
-// shouldClaim reports whether this instance should claim a part: the part has no reachable owner, and
-// this instance is not isolated.
+// shouldClaim reports whether this instance should claim a part: the part has no reachable owner,
+// and this instance is not isolated.
 func (r *Router) shouldClaim(part pipeline.Part) bool {
 	holder, known := r.claims.holder(part)
 	return (!known || !r.owners.reachable(holder.Owner)) && !r.owners.isolated()
@@ -271,7 +271,7 @@
 		plan.Made = outcome.Made
 	}
 	if !r.claims.owns(part) {
-		if r.leavingAmongStaying() {
+		if r.mustDecline() {
 			return api.Ran{}, errLeaving("retry with the next candidate owner")
 		}
 		r.claim(part, "asked_by_peer")
@@ -280,8 +280,8 @@
 	return r.response(call, r.planner.Run(ctx, part, plan)), nil
 }
 
-// response adds the current owner of the part to an outcome, and the current division if the caller's
-// is older.
+// response adds the current owner of the part to an outcome, and the current division if the
+// caller's is older.
 func (r *Router) response(call api.Run, outcome pipeline.Outcome) api.Ran {
 	holder, _ := r.claims.holder(call.Part)
 	outcome.Made = withRemainingTimes(outcome.Made, r.clock.Now())
@@ -353,8 +353,8 @@
 // withCurrentQueues returns results with their queues mapped to the current division.
 func (r *Router) withCurrentQueues(results []batch.Result) []batch.Result {
 	parts := r.divisions.current().Parts
-	made := func(result batch.Result) bool { return result.Handle != "" && result.Queue.Parts != parts }
-	if !slices.ContainsFunc(results, made) {
+	outdated := func(result batch.Result) bool { return result.Handle != "" && result.Queue.Parts != parts }
+	if !slices.ContainsFunc(results, outdated) {
 		return results
 	}
 	return r.results.Rehome(results, parts)
@@ -381,7 +381,8 @@
 	}()
 }
 
-// freeThrough releases results through the owner at an address, or directly if the owner is unreachable.
+// freeThrough releases results through the owner at an address, or directly if the owner is
+// unreachable.
 func (r *Router) freeThrough(address string, results []batch.Result) {
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
--- a/service/handover/throttling.go
+++ b/service/handover/throttling.go
@@ -9,8 +9,8 @@
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
 )
 
-// ThrottlePeers implements throttle.Peers: it requests permits for endpoints that have a limit shared by
-// all instances.
+// ThrottlePeers implements throttle.Peers: it requests permits for endpoints that have a limit
+// shared by all instances.
 type ThrottlePeers struct {
 	Client   *peers.Client
 	Instance membership.Instance
--- a/service/handover/transfer.go
+++ b/service/handover/transfer.go
@@ -94,7 +94,7 @@
 
 // accept accepts a part and the ledger of its previous owner.
 func (r *Router) accept(call api.Take) error {
-	if !r.claims.owns(call.Claim.Part) && r.leavingAmongStaying() {
+	if !r.claims.owns(call.Claim.Part) && r.mustDecline() {
 		return errLeaving("transfer the part to another instance")
 	}
 	r.claims.merge([]ownership.Claim{call.Claim}, "handed_over")
@@ -105,9 +105,9 @@
 	return nil
 }
 
-// leavingAmongStaying reports whether this instance is leaving while another member, which can own its
-// parts, stays.
-func (r *Router) leavingAmongStaying() bool {
+// mustDecline reports whether this instance must not accept a part, because it is leaving while
+// another member stays.
+func (r *Router) mustDecline() bool {
 	return r.owners.leftAt.Load() != nil && !r.owners.noStayingMember()
 }
 
--- a/service/peers/client.go
+++ b/service/peers/client.go
@@ -21,8 +21,8 @@
 
 const (
 	// pingPeriod is the time between pings on a connection with pending calls. pingTimeout is how
-	// long such a connection may receive no bytes before it is closed to fail the calls. A ping reply
-	// may be delayed behind a large answer, which does not count as silence.
+	// long such a connection may receive no bytes before it is closed to fail the calls. A ping
+	// reply may be delayed behind a large answer, which does not count as silence.
 	pingPeriod  = 250 * time.Millisecond
 	pingTimeout = 600 * time.Millisecond
 )
@@ -152,7 +152,7 @@
 		return nil, err
 	}
 	monitored := &monitoredConn{Conn: conn}
-	rpc := &peerConn{Conn: jsonrpc2.NewConn(context.Background(), jsonrpc2.NewBufferedStream(monitored, newCodec(maxMessage)), rejectAll{}), conn: monitored}
+	rpc := &peerConn{Conn: jsonrpc2.NewConn(context.Background(), jsonrpc2.NewBufferedStream(monitored, newCodec(maxMessage)), ignoreCalls{}), conn: monitored}
 	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout)
 	defer cancel()
 	var reply struct{}
@@ -227,8 +227,8 @@
 	}
 }
 
-// rejectAll rejects incoming calls: peers make calls over connections of their own.
-type rejectAll struct{}
+// ignoreCalls ignores incoming calls: peers make calls over connections of their own.
+type ignoreCalls struct{}
 
 // Handle implements jsonrpc2.Handler.
-func (rejectAll) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
+func (ignoreCalls) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
--- a/service/peers/codec.go
+++ b/service/peers/codec.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxUnauthenticatedMessage bounds the size of a message on an unauthenticated connection, maxMessage on an
-	// authenticated one.
+	// maxUnauthenticatedMessage bounds the size of a message on an unauthenticated connection,
+	// maxMessage on an authenticated one.
 	maxUnauthenticatedMessage = 4 << 10
 	maxMessage                = 64 << 20
 	lengthSize                = 4
--- a/service/peers/conn.go
+++ b/service/peers/conn.go
@@ -13,7 +13,8 @@
 	writeChunk   = 32 << 10
 )
 
-// monitoredConn measures how long its reader has been blocked, and closes itself if a write times out.
+// monitoredConn measures how long its reader has been blocked, and closes itself if a write times
+// out.
 //
 // While a large message is being decoded nobody reads, which does not count as silence. Without the
 // write timeout, calls over a full connection to a partitioned peer would hang, because the ping
--- a/service/peers/datagram.go
+++ b/service/peers/datagram.go
@@ -20,7 +20,8 @@
 )
 
 const (
-	// signatureSize is the length in bytes of the truncated HMAC-SHA256 before the body of a datagram.
+	// signatureSize is the length in bytes of the truncated HMAC-SHA256 before the body of a
+	// datagram.
 	signatureSize = 16
 	// maxDatagram bounds the size of a datagram in bytes.
 	maxDatagram = 8 << 10
--- a/service/peers/listen.go
+++ b/service/peers/listen.go
@@ -6,8 +6,8 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
-// maxPortAttempts bounds the search for a port that is free for both TCP and UDP if the configured port
-// is 0.
+// maxPortAttempts bounds the search for a port that is free for both TCP and UDP if the configured
+// port is 0.
 const maxPortAttempts = 20
 
 // ListenTCP listens on the address (IP:port) of a listen.* setting.
--- a/service/peers/server.go
+++ b/service/peers/server.go
@@ -122,8 +122,8 @@
 	server *Server
 	conn   net.Conn
 	codec  *codec
-	// authenticated is set after authentication. Only the connection's read loop, which calls Handle,
-	// accesses it.
+	// authenticated is set after authentication. Only the connection's read loop, which calls
+	// Handle, accesses it.
 	authenticated bool
 }
 
