--- a/pkg/ownership/table_test.go
+++ b/pkg/ownership/table_test.go
@@ -44,7 +44,7 @@
 		Expect(t.Own()).To(Equal([]ownership.Claim{own}))
 	})
 
-	It("does not own a part claimed by an earlier incarnation", func() {
+	It("does not own a part claimed by an earlier incarnation of its own", func() {
 		t := ownership.NewTable(owner(1, 2))
 		t.Merge([]ownership.Claim{{Part: part, Term: 5, Owner: owner(1, 1)}}, never)
 		Expect(t.Owns(part)).To(BeFalse())
--- a/service/handover/divisions_test.go
+++ b/service/handover/divisions_test.go
@@ -75,7 +75,7 @@
 		}
 	})
 
-	It("is adopted from peers by an instance that starts while endpoints are replaced", func() {
+	It("is adopted from others by an instance that starts while endpoints are replaced", func() {
 		setEndpoints(10)
 		restarted := all.restart(all.others(owner)[0])
 		restarted.endpoints.Store(10)
@@ -90,7 +90,7 @@
 		}
 	})
 
-	It("is changed by the owner of the first part only", func() {
+	It("is changed only by the owner of the first part, on its own", func() {
 		setEndpoints(40)
 		for range 60 {
 			clock.Advance(time.Second)
--- a/service/handover/owners_test.go
+++ b/service/handover/owners_test.go
@@ -70,7 +70,7 @@
 		Expect(len(first)).To(BeNumerically(">=", 4))
 	})
 
-	It("change only if a member is unknown, and end with the local instance", func() {
+	It("change only if a member is not known, and end with the local instance", func() {
 		p := pipeline.Part{Of: 1}
 		list := newTestOwners(clock, 0, 8).ranking(p)
 		Expect(list[len(list)-1]).To(Equal(self(0).PeerAddress))
--- a/service/handover/packing_test.go
+++ b/service/handover/packing_test.go
@@ -89,7 +89,7 @@
 		Expect(p.cache).To(HaveLen(maxCachedAnswers))
 	})
 
-	It("are not used for peers without support, or for few endpoints", func() {
+	It("are not used for versions without support, or for few endpoints", func() {
 		Expect(p.state(known, false)).To(Equal(api.Known{Known: known}))
 		Expect(p.changes(5, relayed, false)).To(Equal(api.Relayed{Relayed: relayed}))
 		few := discovery.Relayed{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many[:minPackedEndpoints-1])}}
