--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -199,7 +199,7 @@
 func (g *Gateway) build() {
 	s := g.settings
 	g.regions = ownership.NewRegions(s.Regions)
-	self := membership.Self{
+	self := membership.Instance{
 		Name:          s.Instance,
 		Incarnation:   uint64(g.clock.Now().UnixNano()),
 		FailureDomain: s.FailureDomain,
@@ -216,12 +216,12 @@
 	g.metrics.NewGauge("cobaltcroft_quarantined_requests", func() float64 { return float64(g.quarantine.Count()) })
 	g.usage = peers.NewUsage(g.metrics)
 	g.client = peers.NewClient(s.Instance, s.PeerToken, g.usage)
-	g.gossip = peers.NewGossip(g.listeners.heartbeat, s.PeerToken, timeline.NewClock(g.clock), ratelimit.NewSplitter(g.clock), g.metrics, g.logs.For("peers"), func(membership.Self, uint64) {})
+	g.gossip = peers.NewGossip(g.listeners.heartbeat, s.PeerToken, timeline.NewClock(g.clock), ratelimit.NewSplitter(g.clock), g.metrics, g.logs.For("peers"), func(membership.Instance, uint64) {})
 	g.group = group.New(g.groupSettings(self), g.gossip, g.clock, g.logs.For("peers"))
-	g.follower = discovery.New(g.store, &handover.Knowledge{Client: g.client, Self: self, Live: g.group.Live, Contacts: s.Peers, Tell: g.group.Notify}, g.clock, g.logs.For("discovery"))
+	g.follower = discovery.New(g.store, &handover.DiscoveryPeers{Client: g.client, Self: self, Live: g.group.Live, Contacts: s.Peers, SendHeartbeat: g.group.Notify}, g.clock, g.logs.For("discovery"))
 	g.unreadNotices = g.metrics.NewCounter("cobaltcroft_notices_unread_total")
 	g.rateLimits = throttle.NewTable(g.clock, g.logs.For("throttle"))
-	permitPeers := &handover.Permits{Client: g.client, Instance: self, Stopping: g.stopping.begun, Members: g.group.Live, Departing: g.group.Leaving}
+	permitPeers := &handover.ThrottlePeers{Client: g.client, Instance: self, IsLeaving: g.stopping.begun, LiveMembers: g.group.Live, LeavingMembers: g.group.Leaving}
 	g.permits = throttle.NewLimiter(g.rateLimits, permitPeers, g.domainOf, g.clock, g.logs.For("throttle"))
 	g.backoffs = notice.NewBackoffs(g.clock, g.permits, g.logs.For("notice"))
 	g.metrics.NewGauge("cobaltcroft_endpoints_limited", func() float64 { return float64(g.rateLimits.Count()) })
@@ -233,20 +233,20 @@
 	g.batcher.SetRegions(g.regions)
 	planner := pipeline.NewPlanner(g.batcher, g.clock, g.metrics, g.logs.For("pipeline"))
 	g.router = handover.NewRouter(handover.Options{
-		Self:     self,
-		Live:     g.group.Live,
-		Leaving:  g.group.Leaving,
-		Tell:     g.group.NotifyAll,
-		Contacts: s.Peers,
-		Client:   g.client,
-		Planner:  planner,
-		Batcher:  g.batcher,
-		Supply:   g.supply,
-		Regions:  g.regions,
-		Clock:    g.clock,
-		Log:      g.logs.For("handover"),
+		Self:           self,
+		Live:           g.group.Live,
+		Leaving:        g.group.Leaving,
+		SendHeartbeat:  g.group.NotifyAll,
+		Contacts:       s.Peers,
+		Client:         g.client,
+		Planner:        planner,
+		Batcher:        g.batcher,
+		EndpointCounts: g.supply,
+		Regions:        g.regions,
+		Clock:          g.clock,
+		Log:            g.logs.For("handover"),
 	})
-	rolloutPeers := &handover.Conducting{Client: g.client, Instance: self, Live: g.group.Live}
+	rolloutPeers := &handover.RolloutPeers{Client: g.client, Instance: self, Live: g.group.Live}
 	g.rollouts = rollout.NewManager(rolloutView{g.follower}, rolloutPeers, g.store, s.Rollouts.Share, g.clock, g.logs.For("rollout"))
 	g.executor = pkggateway.New(pkggateway.Options{
 		View:      g.follower.View,
@@ -398,7 +398,7 @@
 	g.backoffs.Sweep()
 	g.rateLimits.Sweep(exists)
 	g.permits.UpdateMembers()
-	g.router.Look()
+	g.router.Tick()
 	g.logUsage(g.clock.Now())
 }
 
--- a/cmd/cobaltcroftd/gateway/gossip.go
+++ b/cmd/cobaltcroftd/gateway/gossip.go
@@ -10,7 +10,7 @@
 
 // groupSettings configures what this instance sends in its heartbeats and how it processes those of
 // others.
-func (g *Gateway) groupSettings(self membership.Self) group.Settings {
+func (g *Gateway) groupSettings(self membership.Instance) group.Settings {
 	return group.Settings{
 		Self:         self,
 		Contacts:     g.settings.Peers,
@@ -34,11 +34,11 @@
 // claims and receiveClaims exchange the owners of partitions. Heartbeats start after all components
 // exist.
 func (g *Gateway) claims() []ownership.Claim             { return g.router.Claims() }
-func (g *Gateway) receiveClaims(heard []ownership.Claim) { g.router.HearClaims(heard) }
+func (g *Gateway) receiveClaims(heard []ownership.Claim) { g.router.MergeClaims(heard) }
 
 // division and receiveDivision exchange the partitioning of endpoints.
 func (g *Gateway) division() ownership.Division             { return g.router.Division() }
-func (g *Gateway) receiveDivision(heard ownership.Division) { g.router.HearDivision(heard) }
+func (g *Gateway) receiveDivision(heard ownership.Division) { g.router.MergeDivision(heard) }
 
 // documentRevision and receiveRevision exchange the revision of the configuration in force.
 func (g *Gateway) documentRevision() uint64 { return g.follower.View().Document.Revision }
--- a/cmd/cobaltcroftd/gateway/outdated_test.go
+++ b/cmd/cobaltcroftd/gateway/outdated_test.go
@@ -31,7 +31,7 @@
 	clock := clockwork.NewRealClock()
 	gossip := peers.NewGossip(conn, "a shared token", timeline.NewClock(clock), ratelimit.NewSplitter(clock), metrics.NewSet(), logging.Discard().For("peers"), nil)
 	DeferCleanup(gossip.Close)
-	self := membership.Self{Name: "teller", Incarnation: 1, FailureDomain: "zone-a", PeerAddress: conn.LocalAddr().String()}
+	self := membership.Instance{Name: "teller", Incarnation: 1, FailureDomain: "zone-a", PeerAddress: conn.LocalAddr().String()}
 	return &newerPeer{gossip: gossip, heartbeat: membership.Heartbeat{From: self, Revision: revision}, to: to}
 }
 
--- a/cmd/cobaltcroftd/gateway/stop.go
+++ b/cmd/cobaltcroftd/gateway/stop.go
@@ -53,7 +53,7 @@
 			g.executor.Drain()
 		}
 		g.router.Leave()
-		if g.ingress.InFlight() > 0 || g.handler.UnderWay() > 0 {
+		if g.ingress.InFlight() > 0 || g.handler.RunningPlans() > 0 {
 			idleSince = now
 		}
 		if now.Sub(begin) >= balancerDelay+idleTime && now.Sub(idleSince) >= idleTime {
--- a/cmd/cobaltcroftd/gateway/supply.go
+++ b/cmd/cobaltcroftd/gateway/supply.go
@@ -11,12 +11,12 @@
 type cachedSupply struct {
 	fleet  *fleet.Snapshot
 	table  *route.Table
-	supply ownership.Supply
+	supply ownership.EndpointCounts
 }
 
 // supply returns the endpoint count of the batching service that has the fewest. It is cached per
 // view because every plan needs it.
-func (g *Gateway) supply() ownership.Supply {
+func (g *Gateway) supply() ownership.EndpointCounts {
 	view := g.follower.View()
 	if last := g.supplyCache.Load(); last != nil && last.fleet == view.Fleet && last.table == view.Table {
 		return last.supply
@@ -26,13 +26,13 @@
 	return supply
 }
 
-func countSupply(view *discovery.View, regions ownership.Regions) ownership.Supply {
-	supply := ownership.Supply{Regions: map[string]int{}}
+func countSupply(view *discovery.View, regions ownership.Regions) ownership.EndpointCounts {
+	supply := ownership.EndpointCounts{ByRegion: map[string]int{}}
 	if view.Table == nil {
 		return supply
 	}
 	for _, region := range regions.Names() {
-		supply.Regions[region] = 0
+		supply.ByRegion[region] = 0
 	}
 	first := true
 	for name, service := range view.Table.Services() {
@@ -42,15 +42,15 @@
 		}
 		inside := map[string]int{}
 		for _, e := range ready {
-			inside[regions.In(e.FailureDomain)]++
+			inside[regions.OfDomain(e.FailureDomain)]++
 		}
-		for region, n := range supply.Regions {
+		for region, n := range supply.ByRegion {
 			if first || inside[region] < n {
-				supply.Regions[region] = inside[region]
+				supply.ByRegion[region] = inside[region]
 			}
 		}
-		if first || len(ready) < supply.All {
-			supply.All = len(ready)
+		if first || len(ready) < supply.Total {
+			supply.Total = len(ready)
 		}
 		first = false
 	}
--- a/pkg/batch/batch.go
+++ b/pkg/batch/batch.go
@@ -163,9 +163,9 @@
 
 // Budget limits retries to a fraction of the submitted pieces.
 type Budget interface {
-	// Count records n submitted pieces.
+	// AddRequests records n submitted pieces.
 	AddRequests(service string, n int)
-	// Take reserves n retries and reports whether the budget allows them.
+	// TryRetry reserves n retries and reports whether the budget allows them.
 	TryRetry(service string, n int) bool
 }
 
--- a/pkg/batch/partition.go
+++ b/pkg/batch/partition.go
@@ -27,18 +27,18 @@
 
 // forEachPart assigns endpoints to partitions, per region if the partitions are split by region.
 func forEachPart(ready []fleet.Endpoint, parts int, regions ownership.Regions, do func(e fleet.Endpoint, part int)) {
-	if !regions.Cut(parts) {
+	if !regions.AssignsParts(parts) {
 		forEachEqualPart(ready, parts, do)
 		return
 	}
 	byRegion := map[string][]fleet.Endpoint{}
 	for _, e := range ready {
 		// Endpoints of unknown region are spread over all regions by hash.
-		region := regions.Of(regions.Part(regions.In(e.FailureDomain), xxhash.Sum64String(e.ID), parts))
+		region := regions.OfPart(regions.Part(regions.OfDomain(e.FailureDomain), xxhash.Sum64String(e.ID), parts))
 		byRegion[region] = append(byRegion[region], e)
 	}
 	for region, endpoints := range byRegion {
-		forEachEqualPart(endpoints, regions.Each(parts), func(e fleet.Endpoint, number int) {
+		forEachEqualPart(endpoints, regions.PartsPerRegion(parts), func(e fleet.Endpoint, number int) {
 			do(e, regions.Part(region, uint64(number), parts).Number)
 		})
 	}
--- a/pkg/batch/partition_test.go
+++ b/pkg/batch/partition_test.go
@@ -61,9 +61,9 @@
 			for _, id := range batch.PartIDsIn(q, all, regions) {
 				seen[id]++
 				for _, endpoint := range all {
-					region := regions.In(endpoint.FailureDomain)
+					region := regions.OfDomain(endpoint.FailureDomain)
 					if endpoint.ID == id && region != "" {
-						Expect(region).To(Equal(regions.Of(ownership.Part{Number: part, Of: 4})))
+						Expect(region).To(Equal(regions.OfPart(ownership.Part{Number: part, Of: 4})))
 					}
 				}
 			}
--- a/pkg/group/group.go
+++ b/pkg/group/group.go
@@ -30,7 +30,7 @@
 
 // Settings configures a group member.
 type Settings struct {
-	Self         membership.Self
+	Self         membership.Instance
 	Contacts     []string
 	Heartbeat    time.Duration
 	SuspectAfter time.Duration
@@ -115,7 +115,7 @@
 }
 
 // Self returns this instance.
-func (g *Group) Self() membership.Self { return g.settings.Self }
+func (g *Group) Self() membership.Instance { return g.settings.Self }
 
 // Heard queues a received heartbeat. If the queue is full the heartbeat is dropped.
 func (g *Group) Heard(h membership.Heartbeat, departing []control.LeavingEndpoint) {
@@ -183,7 +183,7 @@
 		case <-g.notify:
 			g.sendHeartbeats(members)
 		case <-g.notifyAll:
-			g.send(members.NextToAll(), maxEndsBroadcast)
+			g.send(members.Broadcast(), maxEndsBroadcast)
 		case <-ticker.Chan():
 			g.logChanges(members.Tick(g.clock.Now()))
 			g.sendHeartbeats(members)
--- a/pkg/group/group_test.go
+++ b/pkg/group/group_test.go
@@ -91,7 +91,7 @@
 			_ = t.Wait()
 		})
 		for i := range instances {
-			self := membership.Self{Name: fmt.Sprint("i", i), Incarnation: 1, FailureDomain: fmt.Sprint("d", i%4), PeerAddress: fmt.Sprint("a", i)}
+			self := membership.Instance{Name: fmt.Sprint("i", i), Incarnation: 1, FailureDomain: fmt.Sprint("d", i%4), PeerAddress: fmt.Sprint("a", i)}
 			// All instances know one contact, as if from the settings.
 			g := group.New(group.Settings{Self: self, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: 3 * time.Second}, n, clock, logging.Discard().For("peers"))
 			n.groups[self.PeerAddress] = g
@@ -159,8 +159,8 @@
 			t.Kill(nil)
 			_ = t.Wait()
 		})
-		sender := group.New(group.Settings{Self: membership.Self{Name: "sender", PeerAddress: "a0"}, Contacts: []string{"a1"}, Heartbeat: time.Second, SuspectAfter: time.Second, Ends: ends}, n, clock, logging.Discard().For("peers"))
-		receiver := group.New(group.Settings{Self: membership.Self{Name: "receiver", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, OnEnds: func(ends []quarantine.Crash) { heard <- len(ends) }}, n, clock, logging.Discard().For("peers"))
+		sender := group.New(group.Settings{Self: membership.Instance{Name: "sender", PeerAddress: "a0"}, Contacts: []string{"a1"}, Heartbeat: time.Second, SuspectAfter: time.Second, Ends: ends}, n, clock, logging.Discard().For("peers"))
+		receiver := group.New(group.Settings{Self: membership.Instance{Name: "receiver", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, OnEnds: func(ends []quarantine.Crash) { heard <- len(ends) }}, n, clock, logging.Discard().For("peers"))
 		n.groups["a0"], n.groups["a1"] = sender, receiver
 		t.Go(func() error { return sender.Run(&t) })
 		t.Go(func() error { return receiver.Run(&t) })
@@ -195,8 +195,8 @@
 			_ = t.Wait()
 		})
 		departing := func(n int) []string { return []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}[:n] }
-		sender := group.New(group.Settings{Self: membership.Self{Name: "sender", PeerAddress: "a0"}, Contacts: []string{"a1"}, Heartbeat: time.Second, SuspectAfter: time.Second, Departing: departing}, n, clock, logging.Discard().For("peers"))
-		receiver := group.New(group.Settings{Self: membership.Self{Name: "receiver", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, OnDeparting: func(lives []string) { heard <- lives }}, n, clock, logging.Discard().For("peers"))
+		sender := group.New(group.Settings{Self: membership.Instance{Name: "sender", PeerAddress: "a0"}, Contacts: []string{"a1"}, Heartbeat: time.Second, SuspectAfter: time.Second, Departing: departing}, n, clock, logging.Discard().For("peers"))
+		receiver := group.New(group.Settings{Self: membership.Instance{Name: "receiver", PeerAddress: "a1"}, Contacts: []string{"a0"}, Heartbeat: time.Second, SuspectAfter: time.Second, OnDeparting: func(lives []string) { heard <- lives }}, n, clock, logging.Discard().For("peers"))
 		n.groups["a0"], n.groups["a1"] = sender, receiver
 		t.Go(func() error { return sender.Run(&t) })
 		t.Go(func() error { return receiver.Run(&t) })
--- a/service/handover/knowledge.go
+++ b/service/handover/discovery.go
@@ -17,27 +17,29 @@
 )
 
 const (
-	// relaysPerDomain is how many instances of a failure domain relay to the others; the
-	// second follows the first. fewInDomain is how many instances all watch it themselves.
+	// relaysPerDomain is how many instances of a failure domain relay configuration changes to
+	// the others.
 	relaysPerDomain = 2
-	fewInDomain     = 4
+	// maxDirectWatchers is the largest failure domain in which every instance watches the source
+	// itself.
+	maxDirectWatchers = 4
 )
 
-// Knowledge asks peers for what they know of configuration and endpoints.
-type Knowledge struct {
+// DiscoveryPeers implements discovery.Peers: it fetches configuration and endpoint state from peers.
+type DiscoveryPeers struct {
 	Client *peers.Client
-	Self   membership.Self
+	Self   membership.Instance
 	Live   func() []membership.Member
-	// Contacts are asked while no member is known.
+	// Contacts are the addresses to use while no member is known.
 	Contacts []string
-	// Tell has a heartbeat sent at once.
-	Tell func()
+	// SendHeartbeat triggers a heartbeat.
+	SendHeartbeat func()
 }
 
-var _ discovery.Peers = (*Knowledge)(nil)
+var _ discovery.Peers = (*DiscoveryPeers)(nil)
 
-// State implements discovery.Peers: it asks one of the peers, another each time.
-func (k *Knowledge) State(ctx context.Context, newerThan uint64) (discovery.PeerState, error) {
+// State implements discovery.Peers. It asks a random peer.
+func (k *DiscoveryPeers) State(ctx context.Context, newerThan uint64) (discovery.PeerState, error) {
 	addresses := k.Contacts
 	if live := k.Live(); len(live) > 0 {
 		addresses = nil
@@ -59,15 +61,16 @@
 	return known.PeerState, err
 }
 
-// Relays implements discovery.Peers: in a failure domain with many instances, the first two of
-// those that are able, by rendezvous hashing, relay to the others. The first watches the source; the
-// second follows the first, and watches the source when that one does not answer. Others ask the
-// first of another failure domain before they do, another for each, so that the source is not
-// watched by a whole domain whose relays are slow: 48 instances there, one call each 1.5 s.
-func (k *Knowledge) Relays() []string {
+// Relays implements discovery.Peers. In a large failure domain, the first two instances by
+// rendezvous hashing, capable machines first, relay to the others. The first relay watches the
+// source; the second follows the first and falls back to the source.
+//
+// All other instances also try the first relay of another failure domain before the source. If the
+// relays of a domain are slow, the source would otherwise be watched by the whole domain.
+func (k *DiscoveryPeers) Relays() []string {
 	live := k.Live()
 	domain := k.ranked(live, k.Self.FailureDomain)
-	if len(domain) <= fewInDomain {
+	if len(domain) <= maxDirectWatchers {
 		return nil
 	}
 	var relays []string
@@ -86,24 +89,24 @@
 	return relays
 }
 
-// ranked returns the instances of a failure domain in the order in which they relay.
-func (k *Knowledge) ranked(live []membership.Member, domain string) []owner {
+// ranked returns the instances of a failure domain in relay order.
+func (k *DiscoveryPeers) ranked(live []membership.Member, domain string) []owner {
 	var list []owner
 	if domain == k.Self.FailureDomain {
-		list = append(list, owner{Self: k.Self, weight: relayWeight(k.Self)})
+		list = append(list, owner{Instance: k.Self, weight: relayWeight(k.Self)})
 	}
 	for _, m := range live {
 		if m.FailureDomain == domain {
-			list = append(list, owner{Self: m.Self, weight: relayWeight(m.Self)})
+			list = append(list, owner{Instance: m.Instance, weight: relayWeight(m.Instance)})
 		}
 	}
 	rank(list)
 	return list
 }
 
-// otherDomain returns a failure domain of other instances, chosen by this one's name; empty if there
-// is none.
-func (k *Knowledge) otherDomain(live []membership.Member) string {
+// otherDomain returns another failure domain, chosen by rendezvous hashing on this instance's name;
+// empty if there is none.
+func (k *DiscoveryPeers) otherDomain(live []membership.Member) string {
 	best, most := "", uint64(0)
 	for _, m := range live {
 		if m.FailureDomain == k.Self.FailureDomain || m.FailureDomain == best {
@@ -116,10 +119,10 @@
 	return best
 }
 
-func relayWeight(s membership.Self) uint64 { return xxhash.Sum64String("relay/" + s.Name) }
+func relayWeight(s membership.Instance) uint64 { return xxhash.Sum64String("relay/" + s.Name) }
 
 // Relay implements discovery.Peers.
-func (k *Knowledge) Relay(ctx context.Context, relay string, selection discovery.RelayRequest) (discovery.RelayResponse, error) {
+func (k *DiscoveryPeers) Relay(ctx context.Context, relay string, selection discovery.RelayRequest) (discovery.RelayResponse, error) {
 	var relayed api.Relayed
 	call := api.RelaySelect{Since: selection.Since, Document: selection.Document, Evacuations: selection.Evacuations, Rollouts: selection.Rollouts, WaitMs: selection.Wait.Milliseconds(), Packs: true}
 	err := k.Client.Call(ctx, relay, api.MethodFollow, call, &relayed)
@@ -132,9 +135,9 @@
 	return relayed.RelayResponse, err
 }
 
-// Holders implements discovery.Peers: those of the own failure domain come first, and among
-// them those with the newest document; the rest is left to chance, so that all are asked.
-func (k *Knowledge) Holders(newerThan uint64) []string {
+// Holders implements discovery.Peers. Peers of the same failure domain come first, newer documents
+// before older ones; ties are in random order to spread the load.
+func (k *DiscoveryPeers) Holders(newerThan uint64) []string {
 	var holders []membership.Member
 	for _, m := range k.Live() {
 		if m.Revision > newerThan {
@@ -159,7 +162,7 @@
 }
 
 // Piece implements discovery.Peers.
-func (k *Knowledge) Piece(ctx context.Context, peer string, selection discovery.PieceRequest) (discovery.Piece, error) {
+func (k *DiscoveryPeers) Piece(ctx context.Context, peer string, selection discovery.PieceRequest) (discovery.Piece, error) {
 	selection.Asker = k.Self.Name
 	var piece discovery.Piece
 	err := k.Client.Call(ctx, peer, api.MethodPiece, selection, &piece)
@@ -167,4 +170,4 @@
 }
 
 // Announce implements discovery.Peers.
-func (k *Knowledge) Announce() { k.Tell() }
+func (k *DiscoveryPeers) Announce() { k.SendHeartbeat() }
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -18,16 +18,16 @@
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
 )
 
-// Handler answers the calls of other instances' routers and followers.
+// Handler serves the calls of the routers and followers of other instances.
 type Handler struct {
 	router   *Router
 	planner  *pipeline.Planner
-	makers   makers
+	results  resultStore
 	follower *discovery.Follower
-	rollouts Rollouts
-	permits  Permitting
+	rollouts RolloutConductor
+	permits  PermitGranter
 	clock    clockwork.Clock
-	packing  packing
+	packer   endpointPacker
 
 	mu    sync.Mutex
 	calls map[string]context.CancelFunc
@@ -35,25 +35,25 @@
 
 var _ peers.Handler = (*Handler)(nil)
 
-// Rollouts are conducted here.
-type Rollouts interface {
-	// Answer answers the report of an instance.
+// RolloutConductor handles the rollout reports of other instances.
+type RolloutConductor interface {
+	// Answer returns the instruction for a report.
 	Answer(r rollout.Report) rollout.Instruction
 }
 
-// Permitting grants calls to endpoints that name a limit for all instances.
-type Permitting interface {
-	// HandleRequest answers a permit request of another instance.
+// PermitGranter grants calls to endpoints that have a limit shared by all instances.
+type PermitGranter interface {
+	// HandleRequest returns the grant for a permit request.
 	HandleRequest(a throttle.PermitRequest) throttle.PermitGrant
 }
 
-// NewHandler returns a handler that has stages made as a router says.
-func NewHandler(router *Router, follower *discovery.Follower, rollouts Rollouts, permits Permitting) *Handler {
-	return &Handler{router: router, planner: router.planner, makers: router.makers, follower: follower, rollouts: rollouts, permits: permits, clock: router.clock, calls: map[string]context.CancelFunc{}}
+// NewHandler returns a handler that runs plans through the given router.
+func NewHandler(router *Router, follower *discovery.Follower, rollouts RolloutConductor, permits PermitGranter) *Handler {
+	return &Handler{router: router, planner: router.planner, results: router.results, follower: follower, rollouts: rollouts, permits: permits, clock: router.clock, calls: map[string]context.CancelFunc{}}
 }
 
-// UnderWay is the number of plans of other instances that are being made.
-func (h *Handler) UnderWay() int {
+// RunningPlans returns the number of plans of other instances that are running here.
+func (h *Handler) RunningPlans() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.calls)
@@ -63,86 +63,86 @@
 func (h *Handler) Answer(ctx context.Context, method string, raw json.RawMessage) (any, error) {
 	switch method {
 	case api.MethodRun:
-		call, err := peers.Params[api.Run](method, raw)
+		call, err := peers.DecodeParams[api.Run](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		if h.follower.View().Table == nil {
-			return nil, problem.New(problem.Unavailable, "hand the plan to the next owner", "this instance has no configuration yet")
+			return nil, problem.New(problem.Unavailable, "retry with the next candidate owner", "this instance has not received a configuration yet")
 		}
 		return h.run(ctx, call)
 	case api.MethodProgress:
-		call, err := peers.Params[api.Progress](method, raw)
+		call, err := peers.DecodeParams[api.Progress](method, raw)
 		if err != nil {
 			return nil, err
 		}
-		results := withTimes([][]batch.Result{call.Results}, h.clock.Now())[0]
-		return struct{}{}, h.router.progress.stageMade(call.Call, call.Stage, results)
+		results := withExpiryTimes([][]batch.Result{call.Results}, h.clock.Now())[0]
+		return struct{}{}, h.router.progress.stageCompleted(call.Call, call.Stage, results)
 	case api.MethodTake:
-		call, err := peers.Params[api.Take](method, raw)
+		call, err := peers.DecodeParams[api.Take](method, raw)
 		if err != nil {
 			return nil, err
 		}
-		return struct{}{}, h.router.take(call)
+		return struct{}{}, h.router.accept(call)
 	case api.MethodCancel:
-		call, err := peers.Params[api.Cancel](method, raw)
+		call, err := peers.DecodeParams[api.Cancel](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		h.cancel(call.Call)
 		return struct{}{}, nil
 	case api.MethodFree:
-		call, err := peers.Params[api.Free](method, raw)
+		call, err := peers.DecodeParams[api.Free](method, raw)
 		if err != nil {
 			return nil, err
 		}
-		h.makers.Free(call.Results)
+		h.results.Free(call.Results)
 		return struct{}{}, nil
 	case api.MethodReaderFailed:
-		call, err := peers.Params[api.ReaderFailed](method, raw)
+		call, err := peers.DecodeParams[api.ReaderFailed](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		h.planner.ReaderFailed(call.Endpoint)
 		return struct{}{}, nil
 	case api.MethodFollow:
-		call, err := peers.Params[api.RelaySelect](method, raw)
+		call, err := peers.DecodeParams[api.RelaySelect](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		wait := min(maxRelayWait, time.Duration(call.WaitMs)*time.Millisecond)
 		told := h.follower.Relay(discovery.RelayRequest{Since: call.Since, Document: call.Document, Evacuations: call.Evacuations, Rollouts: call.Rollouts, Wait: wait})
-		return h.packing.changes(call.Since, told, call.Packs), nil
+		return h.packer.changes(call.Since, told, call.Packs), nil
 	case api.MethodPiece:
-		call, err := peers.Params[discovery.PieceRequest](method, raw)
+		call, err := peers.DecodeParams[discovery.PieceRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		return h.follower.Piece(call)
 	case api.MethodRollout:
-		call, err := peers.Params[rollout.Report](method, raw)
+		call, err := peers.DecodeParams[rollout.Report](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		return h.rollouts.Answer(call), nil
 	case api.MethodPermits:
-		call, err := peers.Params[throttle.PermitRequest](method, raw)
+		call, err := peers.DecodeParams[throttle.PermitRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		return h.permits.HandleRequest(call), nil
 	case api.MethodState:
-		call, err := peers.Params[api.StateSelect](method, raw)
+		call, err := peers.DecodeParams[api.StateSelect](method, raw)
 		if err != nil {
 			return nil, err
 		}
-		return h.packing.state(h.follower.LocalState(call.NewerThan), call.Packs), nil
+		return h.packer.state(h.follower.LocalState(call.NewerThan), call.Packs), nil
 	}
 	return nil, peers.UnknownMethod(method)
 }
 
-// run has stages made until the caller cancels or its connection breaks. What was made
-// until then is freed.
+// run runs a plan until it ends, the caller cancels it or the connection is lost. Results of an
+// abandoned plan are freed.
 func (h *Handler) run(ctx context.Context, call api.Run) (api.Ran, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -157,8 +157,8 @@
 	now := h.clock.Now()
 	call.Plan.Due = now.Add(time.Duration(call.DueMs) * time.Millisecond)
 	call.Plan.Deadline = now.Add(time.Duration(call.DeadlineMs) * time.Millisecond)
-	call.Plan.Completed = withTimes(call.Plan.Completed, now)
-	call.Plan.Progress = h.router.tellProgress(call.From, call.Call)
+	call.Plan.Completed = withExpiryTimes(call.Plan.Completed, now)
+	call.Plan.Progress = h.router.progressReporter(call.From, call.Call)
 	return h.router.serve(ctx, call)
 }
 
@@ -170,5 +170,5 @@
 	}
 }
 
-// maxRelayWait bounds how long a call for changes waits.
+// maxRelayWait bounds how long a call that waits for changes may block.
 const maxRelayWait = 2 * time.Second
--- a/service/peers/usage_test.go
+++ b/service/peers/usage_test.go
@@ -14,15 +14,15 @@
 	"github.com/cobaltcroft/cobaltcroft/service/peers"
 )
 
-// echo answers with what it was asked.
+// echo answers with the parameters.
 type echo struct{}
 
 func (echo) Answer(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	return params, nil
 }
 
-var _ = Describe("the usage of links", func() {
-	It("is counted by method, questions where they come and answers where those do", func() {
+var _ = Describe("the usage of peer connections", func() {
+	It("is counted by method, for questions at the server and for answers at the client", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		set := metrics.NewSet()
@@ -51,8 +51,8 @@
 			})
 			return list
 		}
-		Expect(rows(asked)).To(ConsistOf(row{"some.method", peers.Questions, 30, 3}))
-		Expect(rows(answered)).To(ConsistOf(row{"some.method", peers.Answers, 30, 3}))
+		Expect(rows(asked)).To(ConsistOf(row{"some.method", peers.Requests, 30, 3}))
+		Expect(rows(answered)).To(ConsistOf(row{"some.method", peers.Responses, 30, 3}))
 		var text bytes.Buffer
 		set.WritePrometheus(&text)
 		Expect(text.String()).To(ContainSubstring(`cobaltcroft_peer_bytes_total{method="some.method",direction="questions"} 30`))
