--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -467,7 +467,7 @@
 		Eventually(got).Should(Receive(HaveField("Changes.Revision", uint64(9))))
 		go func() { got <- ask(9, 5*time.Second) }()
 		put(store, state(11, 10, 7, "a", "b"))
-		Eventually(got).Should(Receive(Or(HaveField("Mark.Revision", uint64(10)), HaveField("Changes.Revision", uint64(11)))))
+		Eventually(got).Should(Receive(Or(HaveField("Status.Revision", uint64(10)), HaveField("Changes.Revision", uint64(11)))))
 		Eventually(func() uint64 { return ask(11, 0).Status.Revision }).Should(Equal(uint64(10)))
 		Eventually(listed).Should(Equal(uint64(11)))
 		By("sending a requester whose revision lies between two entries all that it may lack")
