--- a/service/ingress/allowance.go
+++ b/service/ingress/allowance.go
@@ -9,51 +9,51 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/route"
 )
 
-// allowance is what clients are allowed: the most that any configuration in this life has
-// allowed, since clients may still go by an older one. Safe for concurrent use.
-type allowance struct {
-	mu   sync.Mutex
-	most route.Limits
+// clientLimits keeps the highest limits of all configurations since the start of the process,
+// because clients may still follow an older configuration. It is safe for concurrent use.
+type clientLimits struct {
+	mu      sync.Mutex
+	highest route.Limits
 }
 
-// take takes in the limits of a configuration, and returns what is allowed now.
-func (a *allowance) take(limits route.Limits, known bool) route.Limits {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// update applies the limits of a configuration and returns the effective limits.
+func (l *clientLimits) update(limits route.Limits, known bool) route.Limits {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if known {
-		a.most.HeaderBytes = max(a.most.HeaderBytes, limits.HeaderBytes)
-		a.most.HeaderTimeout = max(a.most.HeaderTimeout, limits.HeaderTimeout)
-		a.most.IdleTimeout = max(a.most.IdleTimeout, limits.IdleTimeout)
+		l.highest.HeaderBytes = max(l.highest.HeaderBytes, limits.HeaderBytes)
+		l.highest.HeaderTimeout = max(l.highest.HeaderTimeout, limits.HeaderTimeout)
+		l.highest.IdleTimeout = max(l.highest.IdleTimeout, limits.IdleTimeout)
 	}
 	return route.Limits{
-		HeaderBytes:   orElse(a.most.HeaderBytes, headerBytes),
-		HeaderTimeout: orElse(a.most.HeaderTimeout, headerTimeout),
-		IdleTimeout:   orElse(a.most.IdleTimeout, idleTimeout),
+		HeaderBytes:   orDefault(l.highest.HeaderBytes, defaultHeaderBytes),
+		HeaderTimeout: orDefault(l.highest.HeaderTimeout, defaultHeaderTimeout),
+		IdleTimeout:   orDefault(l.highest.IdleTimeout, defaultIdleTimeout),
 	}
 }
 
-// orElse returns a limit, or another one where none was given.
-func orElse[T int | time.Duration](limit, other T) T {
+// orDefault returns fallback if limit is not set.
+func orDefault[T int | time.Duration](limit, fallback T) T {
 	if limit > 0 {
 		return limit
 	}
-	return other
+	return fallback
 }
 
-// lineBytes is what a header line has beside name and value.
-const lineBytes = len(": \r\n")
+// headerLineOverhead is the size of the separators in a header line.
+const headerLineOverhead = len(": \r\n")
 
-// headSize returns the bytes of a request's head, as a client sends it at least.
-func headSize(r *http.Request) int {
+// headerSize returns the minimum size on the wire of the request line and headers.
+func headerSize(r *http.Request) int {
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
 		for _, value := range values {
-			size += len(name) + len(value) + lineBytes
+			size += len(name) + len(value) + headerLineOverhead
 		}
 	}
 	return size
 }
 
-func refuseHead() *gateway.Refusal {
-	return &gateway.Refusal{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: "head_too_large", Message: "the headers are longer than the configuration allows; send fewer"}
+func refuseHeader() *gateway.Refusal {
+	return &gateway.Refusal{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: "head_too_large", Message: "the headers exceed the configured size limit; send fewer"}
 }
--- a/service/ingress/answer_test.go
+++ b/service/ingress/answer_test.go
@@ -16,10 +16,10 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/route"
 )
 
-var _ = Describe("every request that was read", func() {
-	// ask sends a request to a face that has it run by a function.
-	ask := func(run func(gateway.Responder)) (*http.Response, error) {
-		f := New(Options{
+var _ = Describe("a request that has been read", func() {
+	// get sends a request to a server whose handler is run.
+	get := func(run func(gateway.Responder)) (*http.Response, error) {
+		server := New(Options{
 			Run:     func(_ context.Context, _ *gateway.Request, responder gateway.Responder) { run(responder) },
 			Dialect: plain{},
 			Limits:  func() (route.Limits, bool) { return route.Limits{IdleTimeout: 15 * time.Second}, true },
@@ -28,37 +28,37 @@
 		})
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		go func() { _ = f.Serve(l) }()
-		DeferCleanup(f.Close)
+		go func() { _ = server.Serve(l) }()
+		DeferCleanup(server.Close)
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 		return client.Get("http://" + l.Addr().String() + "/x")
 	}
 
-	It("is answered, though nobody answered it", func() {
-		response, err := ask(func(gateway.Responder) {})
+	It("gets an internal error if the handler does not respond", func() {
+		response, err := get(func(gateway.Responder) {})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusInternalServerError))
 	})
 
-	It("is answered, though its run panicked", func() {
-		response, err := ask(func(gateway.Responder) { panic("a fault of ours") })
+	It("gets an internal error if the handler panics", func() {
+		response, err := get(func(gateway.Responder) { panic("handler failure") })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusInternalServerError))
 	})
 
-	It("is broken off, not ended as if it were whole, if its run panicked within the answer", func() {
-		response, err := ask(func(r gateway.Responder) {
+	It("has its connection aborted if the handler panics after the response has started", func() {
+		response, err := get(func(r gateway.Responder) {
 			Expect(r.StartStream(http.StatusOK, http.Header{})).To(Succeed())
 			Expect(r.WriteEvents([]byte("data: 1\n\n"))).To(Succeed())
-			panic("a fault of ours")
+			panic("handler failure")
 		})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = io.ReadAll(response.Body)
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("is told to leave its connection sooner than that is closed", func() {
-		response, err := ask(func(r gateway.Responder) { r.Respond(http.StatusOK, http.Header{}, nil) })
+	It("gets a Keep-Alive timeout that is shorter than the idle timeout", func() {
+		response, err := get(func(r gateway.Responder) { r.Respond(http.StatusOK, http.Header{}, nil) })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Header.Get("Keep-Alive")).To(Equal("timeout=10"))
 	})
--- a/service/ingress/conns.go
+++ b/service/ingress/conns.go
@@ -7,94 +7,94 @@
 	"time"
 )
 
-// connState notes which connections rest. Those that send a head rest until it has begun,
-// and become active when it has been read.
-func (f *Face) connState(c net.Conn, state http.ConnState) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.idle, c)
-	delete(f.reading, c)
+// connState tracks idle connections. A connection is idle until the first byte of a request
+// arrives, and active once the request header has been read.
+func (s *Face) connState(c net.Conn, state http.ConnState) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.idle, c)
+	delete(s.reading, c)
 	if state == http.StateNew || state == http.StateIdle {
-		f.idle[c] = f.Clock.Now()
+		s.idle[c] = s.Clock.Now()
 	}
 }
 
-// bytesCame notes that a connection that rested sends the head of a request.
-func (f *Face) bytesCame(c net.Conn) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if _, rested := f.idle[c]; rested {
-		delete(f.idle, c)
-		f.reading[c] = f.Clock.Now()
+// markReading records that an idle connection has started to receive a request header.
+func (s *Face) markReading(c net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if _, idle := s.idle[c]; idle {
+		delete(s.idle, c)
+		s.reading[c] = s.Clock.Now()
 	}
 }
 
-// headListener and headConn tell the face when bytes come.
-type headListener struct {
+// trackingListener and trackingConn report incoming data to the server.
+type trackingListener struct {
 	net.Listener
-	face *Face
+	server *Face
 }
 
 // Accept implements net.Listener.
-func (l *headListener) Accept() (net.Conn, error) {
+func (l *trackingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &headConn{c, l.face}, nil
+	return &trackingConn{c, l.server}, nil
 }
 
-type headConn struct {
+type trackingConn struct {
 	net.Conn
-	face *Face
+	server *Face
 }
 
 // Read implements net.Conn.
-func (c *headConn) Read(buffer []byte) (int, error) {
+func (c *trackingConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	if n > 0 {
-		c.face.bytesCame(c)
+		c.server.markReading(c)
 	}
 	return n, err
 }
 
-// Sweep closes the connections that have rested too long, or send a head for too long, each
-// second until ctx ends.
-func (f *Face) Sweep(ctx context.Context) {
-	ticker := f.Clock.NewTicker(sweepPeriod)
+// Sweep periodically closes connections that exceed the idle or the header timeout. It returns when
+// ctx is done.
+func (s *Face) Sweep(ctx context.Context) {
+	ticker := s.Clock.NewTicker(sweepPeriod)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.Chan():
-			f.sweep()
+			s.sweep()
 		}
 	}
 }
 
-func (f *Face) sweep() {
-	allowed := f.allowance.take(f.Limits())
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now := f.Clock.Now()
-	for _, c := range older(f.idle, now.Add(-allowed.IdleTimeout)) {
-		if bytesWait(c) {
-			// A request has begun that its reader has not come to yet: it has the time of a head.
-			f.reading[c] = now
+func (s *Face) sweep() {
+	allowed := s.clientLimits.update(s.Limits())
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.Clock.Now()
+	for _, c := range olderThan(s.idle, now.Add(-allowed.IdleTimeout)) {
+		if hasUnreadData(c) {
+			// A request has arrived but has not been read yet; the header timeout applies.
+			s.reading[c] = now
 		} else {
 			_ = c.Close()
 		}
-		delete(f.idle, c)
+		delete(s.idle, c)
 	}
-	for _, c := range older(f.reading, now.Add(-allowed.HeaderTimeout)) {
+	for _, c := range olderThan(s.reading, now.Add(-allowed.HeaderTimeout)) {
 		_ = c.Close()
-		delete(f.reading, c)
+		delete(s.reading, c)
 	}
 }
 
-// older returns the connections noted before a time.
-func older(conns map[net.Conn]time.Time, before time.Time) []net.Conn {
+// olderThan returns the connections recorded before the given time.
+func olderThan(conns map[net.Conn]time.Time, before time.Time) []net.Conn {
 	var list []net.Conn
 	for c, since := range conns {
 		if since.Before(before) {
--- a/service/ingress/crossing_test.go
+++ b/service/ingress/crossing_test.go
@@ -18,13 +18,13 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/route"
 )
 
-// stalledListener accepts connections from which the process reads nothing while it is held:
-// what comes stands in the kernel, as it does where the process gets no processor time.
+// stalledListener accepts connections whose reads block while it is blocked, so that received data
+// stays in the kernel as in a process without CPU time.
 type stalledListener struct {
 	net.Listener
-	mu   sync.Mutex
-	held chan struct{}
-	// waiting counts the reads that hold back bytes that have come.
+	mu      sync.Mutex
+	blocked chan struct{}
+	// waiting counts the blocked reads that have data available.
 	waiting int
 }
 
@@ -37,35 +37,35 @@
 	return &stalledConn{c.(*net.TCPConn), l}, nil
 }
 
-func (l *stalledListener) hold() {
+func (l *stalledListener) block() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.held = make(chan struct{})
+	l.blocked = make(chan struct{})
 }
 
 func (l *stalledListener) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	close(l.held)
-	l.held = nil
+	close(l.blocked)
+	l.blocked = nil
 }
 
-func (l *stalledListener) heldBack() int {
+func (l *stalledListener) blockedReads() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.waiting
 }
 
-// wait returns at once unless the listener is held.
+// wait blocks while the listener is blocked.
 func (l *stalledListener) wait() {
 	l.mu.Lock()
-	held := l.held
-	if held != nil {
+	blocked := l.blocked
+	if blocked != nil {
 		l.waiting++
 	}
 	l.mu.Unlock()
-	if held != nil {
-		<-held
+	if blocked != nil {
+		<-blocked
 	}
 }
 
@@ -74,7 +74,7 @@
 	listener *stalledListener
 }
 
-// Read implements net.Conn. It takes nothing from the kernel before it may.
+// Read implements net.Conn. It waits for data without consuming it before it may block.
 func (c *stalledConn) Read(buffer []byte) (int, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -92,10 +92,10 @@
 	return c.TCPConn.Read(buffer)
 }
 
-var _ = Describe("a request that came within the time that a connection may rest", func() {
-	It("is answered, though nothing of it has been read when that time is over", func() {
+var _ = Describe("a request that arrives before the idle timeout", func() {
+	It("is served even if none of it has been read when the timeout expires", func() {
 		clock := clockwork.NewFakeClock()
-		f := New(Options{
+		server := New(Options{
 			Run: func(_ context.Context, _ *gateway.Request, responder gateway.Responder) {
 				responder.Respond(http.StatusOK, http.Header{}, []byte("ran"))
 			},
@@ -107,39 +107,39 @@
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		l := &stalledListener{Listener: inner}
-		go func() { _ = f.Serve(l) }()
-		DeferCleanup(f.Close)
+		go func() { _ = server.Serve(l) }()
+		DeferCleanup(server.Close)
 		c, err := net.Dial("tcp", inner.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(c.Close)
-		answers := bufio.NewReader(c)
-		ask := func() {
+		responses := bufio.NewReader(c)
+		send := func() {
 			GinkgoHelper()
 			_, err := c.Write([]byte("GET /x HTTP/1.1\r\nHost: h\r\n\r\n"))
 			Expect(err).NotTo(HaveOccurred())
 		}
 		status := func() int {
 			GinkgoHelper()
-			response, err := http.ReadResponse(answers, nil)
+			response, err := http.ReadResponse(responses, nil)
 			Expect(err).NotTo(HaveOccurred())
 			_ = response.Body.Close()
 			return response.StatusCode
 		}
 
-		ask()
+		send()
 		Expect(status()).To(Equal(http.StatusOK))
 		Eventually(func() int {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			return len(f.idle)
+			server.mu.Lock()
+			defer server.mu.Unlock()
+			return len(server.idle)
 		}).Should(Equal(1))
 
-		l.hold()
+		l.block()
 		clock.Advance(12 * time.Second)
-		ask()
-		Eventually(l.heldBack).Should(Equal(1))
+		send()
+		Eventually(l.blockedReads).Should(Equal(1))
 		clock.Advance(3100 * time.Millisecond)
-		f.sweep()
+		server.sweep()
 		l.release()
 		Expect(status()).To(Equal(http.StatusOK))
 	})
--- a/service/ingress/holding.go
+++ b/service/ingress/holding.go
@@ -9,57 +9,57 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/memquota"
 )
 
-// errNoMemory says that a body has no place in memory.
-var errNoMemory = errors.New("the bodies that are held take all memory for them")
+// errNoMemory is returned when the memory quota does not admit a request body.
+var errNoMemory = errors.New("the memory quota for request bodies is exhausted")
 
-// heldBody is what is counted in of one request's body. A length that is told is counted at once, since many clients that
-// begin to send together would each find room; without one, what has come.
-type heldBody struct {
-	account *memquota.Quota
-	bytes   int64
-	// told says that the length was told.
-	told bool
+// bodyReservation is the memory reserved for one request body. A declared length is reserved in
+// advance, because many clients that start sending at the same time would otherwise all be
+// admitted. A body of unknown length is reserved as it is read.
+type bodyReservation struct {
+	quota       *memquota.Quota
+	bytes       int64
+	lengthKnown bool
 }
 
-// take counts a body in of which the length is told; -1: it is not. It tells whether there is room.
-func (b *heldBody) take(length int64) bool {
+// reserve reserves memory for a body of the given length, or nothing if the length is unknown (-1).
+// It reports whether the quota admits the body.
+func (b *bodyReservation) reserve(length int64) bool {
 	if length < 0 {
 		return true
 	}
-	b.told = true
-	if !b.account.TryReserve(length) {
+	b.lengthKnown = true
+	if !b.quota.TryReserve(length) {
 		return false
 	}
 	b.bytes += length
 	return true
 }
 
-// counted returns a reader that counts in what comes, unless the length was told.
-func (b *heldBody) counted(r io.Reader) io.Reader {
-	if b.told {
+// track returns a reader that reserves memory as it reads, unless the length is known.
+func (b *bodyReservation) track(r io.Reader) io.Reader {
+	if b.lengthKnown {
 		return r
 	}
-	return &countingReader{reader: r, body: b}
+	return &reservingReader{reader: r, body: b}
 }
 
-func (b *heldBody) free() { b.account.Release(b.bytes) }
+func (b *bodyReservation) release() { b.quota.Release(b.bytes) }
 
-type countingReader struct {
+type reservingReader struct {
 	reader io.Reader
-	body   *heldBody
+	body   *bodyReservation
 }
 
 // Read implements io.Reader.
-func (c *countingReader) Read(buffer []byte) (int, error) {
+func (c *reservingReader) Read(buffer []byte) (int, error) {
 	n, err := c.reader.Read(buffer)
-	if !c.body.account.TryReserve(int64(n)) {
+	if !c.body.quota.TryReserve(int64(n)) {
 		return n, errNoMemory
 	}
 	c.body.bytes += int64(n)
 	return n, err
 }
 
-// refuseMemory refuses a request that would be held beside too much else: other instances may have room.
 func refuseMemory() *gateway.Refusal {
-	return &gateway.Refusal{Status: http.StatusServiceUnavailable, RetryAfter: comeBack, Reason: "no_memory", Message: "this instance holds as much as it has memory for; the request has not run; send it to another"}
+	return &gateway.Refusal{Status: http.StatusServiceUnavailable, RetryAfter: refusalRetryAfter, Reason: "no_memory", Message: "this instance has reached its memory limit; the request has not run; send it to another instance"}
 }
--- a/service/ingress/holding_test.go
+++ b/service/ingress/holding_test.go
@@ -18,18 +18,18 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/route"
 )
 
-var _ = Describe("bodies that are held", func() {
+var _ = Describe("the memory quota for request bodies", func() {
 	const limit, body = 100_000, 40_000
 	var (
-		account *memquota.Quota
+		quota   *memquota.Quota
 		l       net.Listener
 		running chan chan struct{}
 	)
 
 	BeforeEach(func() {
-		account = memquota.NewQuota(limit)
+		quota = memquota.NewQuota(limit)
 		running = make(chan chan struct{}, 8)
-		f := New(Options{
+		server := New(Options{
 			Run: func(ctx context.Context, _ *gateway.Request, responder gateway.Responder) {
 				end := make(chan struct{})
 				running <- end
@@ -41,18 +41,18 @@
 			},
 			Dialect: plain{},
 			Limits:  func() (route.Limits, bool) { return route.Limits{}, true },
-			Held:    account,
+			Held:    quota,
 			Clock:   clockwork.NewRealClock(),
 			Log:     logging.Discard().For("ingress"),
 		})
 		var err error
 		l, err = net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		go func() { _ = f.Serve(l) }()
-		DeferCleanup(f.Close)
+		go func() { _ = server.Serve(l) }()
+		DeferCleanup(server.Close)
 	})
 
-	// send sends a request, and returns its connection.
+	// send sends a request and returns its connection.
 	send := func(head, rest string) net.Conn {
 		c, err := net.Dial("tcp", l.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
@@ -61,34 +61,34 @@
 		Expect(err).NotTo(HaveOccurred())
 		return c
 	}
-	answer := func(c net.Conn) *http.Response {
-		response, err := http.ReadResponse(bufio.NewReader(c), nil)
+	response := func(c net.Conn) *http.Response {
+		r, err := http.ReadResponse(bufio.NewReader(c), nil)
 		Expect(err).NotTo(HaveOccurred())
-		return response
+		return r
 	}
 	length := fmt.Sprint("Content-Length: ", body)
 
-	It("take no more memory than there is for them, whether they have come or were told, and others are refused at once as not run", func() {
+	It("covers received and declared bytes, and rejects further requests before they run", func() {
 		send(length, strings.Repeat("x", body))
 		var end chan struct{}
 		Eventually(running).Should(Receive(&end))
-		slow := send(length, "a client that sends slowly")
-		Eventually(account.Used).Should(Equal(int64(2 * body)))
+		slow := send(length, "a partial body")
+		Eventually(quota.Used).Should(Equal(int64(2 * body)))
 
-		refused := answer(send(length, strings.Repeat("x", body)))
+		refused := response(send(length, strings.Repeat("x", body)))
 		Expect(refused.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(refused.Header.Get("Retry-After")).NotTo(BeEmpty())
 		chunks := strings.Repeat("4000\r\n"+strings.Repeat("x", 0x4000)+"\r\n", 4) + "0\r\n\r\n"
-		Expect(answer(send("Transfer-Encoding: chunked", chunks)).StatusCode).To(Equal(http.StatusServiceUnavailable))
+		Expect(response(send("Transfer-Encoding: chunked", chunks)).StatusCode).To(Equal(http.StatusServiceUnavailable))
 		Expect(running).NotTo(Receive())
 
 		close(end)
 		Expect(slow.Close()).To(Succeed())
-		Eventually(account.Used).Should(BeZero())
-		again := send(length, strings.Repeat("x", body))
+		Eventually(quota.Used).Should(BeZero())
+		next := send(length, strings.Repeat("x", body))
 		Eventually(running).Should(Receive(&end))
 		close(end)
-		Expect(answer(again).StatusCode).To(Equal(http.StatusOK))
-		Eventually(account.Used).Should(BeZero())
+		Expect(response(next).StatusCode).To(Equal(http.StatusOK))
+		Eventually(quota.Used).Should(BeZero())
 	})
 })
--- a/service/ingress/ingress.go
+++ b/service/ingress/ingress.go
@@ -1,5 +1,5 @@
-// Package ingress is the face to clients that speak plain HTTP/1.1: it reads their
-// requests whole, has the gateway run them, and writes the answers.
+// Package ingress serves clients over plain HTTP/1.1. It reads each request completely, has the
+// gateway run it and writes the response.
 package ingress
 
 import (
@@ -25,110 +25,106 @@
 )
 
 const (
-	// headerTimeout and headerBytes bound slow and large heads until a configuration
-	// says otherwise, and longestHead and largestHead whatever it says; bodyBytes bounds
-	// bodies.
-	headerTimeout = 10 * time.Second
-	headerBytes   = 64 << 10
-	longestHead   = 2 * time.Minute
-	largestHead   = 1 << 20
-	bodyBytes     = 4 << 20
-	// bodyTimeout bounds how long a body may take.
+	// The default header limits apply until a configuration sets others; the maximum limits always
+	// apply.
+	defaultHeaderTimeout = 10 * time.Second
+	defaultHeaderBytes   = 64 << 10
+	maxHeaderTimeout     = 2 * time.Minute
+	maxHeaderBytes       = 1 << 20
+	defaultMaxBodyBytes  = 4 << 20
+	// bodyTimeout limits the time to read a request body.
 	bodyTimeout = 15 * time.Second
-	// drainTimeout and drainBytes bound what is read of a body that is refused.
-	drainTimeout = 2 * time.Second
-	drainBytes   = 16 << 20
-	// idleTimeout is how long a connection may rest until a configuration says
-	// otherwise.
-	idleTimeout = 30 * time.Second
-	// restMargin is how much sooner than they are closed clients are told to leave resting
-	// connections: a request takes as long to come on a full link, and the sweep comes each second.
-	restMargin = 5 * time.Second
-	// writeSlack is how long after a request's time its answer may still be written.
-	writeSlack  = time.Second
-	defaultWait = time.Minute
-	// sweepPeriod is the time between looks for connections that rest too long.
-	sweepPeriod = time.Second
-	// comeBack is when clients may come back that were refused while this instance
-	// stops.
-	comeBack = 50 * time.Millisecond
+	// drainTimeout and maxDrainBytes limit how much of a refused body is read.
+	drainTimeout  = 2 * time.Second
+	maxDrainBytes = 16 << 20
+	// defaultIdleTimeout applies until a configuration sets another idle timeout.
+	defaultIdleTimeout = 30 * time.Second
+	// keepAliveMargin is subtracted from the idle timeout advertised to clients. It covers the
+	// transfer time of a request on a saturated link and the sweep period.
+	keepAliveMargin = 5 * time.Second
+	// writeMargin is the time to write a response after the request's deadline.
+	writeMargin    = time.Second
+	defaultMaxWait = time.Minute
+	sweepPeriod    = time.Second
+	// refusalRetryAfter is the retry delay sent when this instance cannot take a request.
+	refusalRetryAfter = 50 * time.Millisecond
 )
 
-// Options of the face.
+// Options configures a server.
 type Options struct {
 	Run     func(ctx context.Context, r *gateway.Request, responder gateway.Responder)
 	Dialect gateway.Dialect
-	// Limits returns what the configuration in force allows clients.
+	// Limits returns the client limits of the current configuration, if there is one.
 	Limits func() (route.Limits, bool)
-	// Held counts the bodies that are held for clients; nil: any number may be.
+	// Held accounts for the memory of request bodies. If nil, it is unlimited.
 	Held  *memquota.Quota
 	Clock clockwork.Clock
 	Log   *logrus.Entry
 }
 
-// Face serves clients.
+// Face is an HTTP server for clients.
 type Face struct {
 	Options
 	server   *http.Server
 	inFlight atomic.Int64
-	// leaving has clients told to use other connections; refusing refuses requests.
-	leaving  atomic.Bool
-	refusing atomic.Bool
+	// closeConns disables keep-alive; rejecting rejects new requests.
+	closeConns atomic.Bool
+	rejecting  atomic.Bool
 
-	allowance allowance
+	clientLimits clientLimits
 
 	mu sync.Mutex
-	// idle has the connections at rest, and since when; reading those that send the head
-	// of a request.
+	// idle holds the time since when each connection has been idle; reading, since when it has been
+	// receiving a request header.
 	idle    map[net.Conn]time.Time
 	reading map[net.Conn]time.Time
 }
 
-// New returns a face.
+// New returns a server.
 func New(o Options) *Face {
 	if o.Held == nil {
 		o.Held = memquota.NewQuota(0)
 	}
-	f := &Face{Options: o, idle: map[net.Conn]time.Time{}, reading: map[net.Conn]time.Time{}}
-	f.server = &http.Server{
-		Handler:           f,
-		ReadHeaderTimeout: longestHead,
-		MaxHeaderBytes:    largestHead,
-		ConnState:         f.connState,
+	s := &Face{Options: o, idle: map[net.Conn]time.Time{}, reading: map[net.Conn]time.Time{}}
+	s.server = &http.Server{
+		Handler:           s,
+		ReadHeaderTimeout: maxHeaderTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         s.connState,
 		ErrorLog:          stdlog.New(io.Discard, "", 0),
 	}
-	return f
+	return s
 }
 
-// Serve serves connections until the face is closed.
-func (f *Face) Serve(listener net.Listener) error {
-	if err := f.server.Serve(&headListener{listener, f}); !errors.Is(err, http.ErrServerClosed) {
+// Serve accepts connections until the server is closed.
+func (s *Face) Serve(listener net.Listener) error {
+	if err := s.server.Serve(&trackingListener{listener, s}); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// InFlight is the number of requests under way.
-func (f *Face) InFlight() int64 { return f.inFlight.Load() }
+// InFlight returns the number of requests in progress.
+func (s *Face) InFlight() int64 { return s.inFlight.Load() }
 
-// Leave has clients told with each answer to use another connection.
-func (f *Face) Leave() { f.leaving.Store(true) }
+// Leave disables keep-alive, so that clients move to other instances.
+func (s *Face) Leave() { s.closeConns.Store(true) }
 
-// Refuse has further requests refused.
-func (f *Face) Refuse() { f.refusing.Store(true) }
+// Refuse rejects new requests.
+func (s *Face) Refuse() { s.rejecting.Store(true) }
 
-// Close closes listener and connections.
-func (f *Face) Close() { _ = f.server.Close() }
+// Close closes the listener and all connections.
+func (s *Face) Close() { _ = s.server.Close() }
 
 // ServeHTTP implements http.Handler.
-func (f *Face) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.inFlight.Add(1)
-	defer f.inFlight.Add(-1)
-	f.tellRest(w.Header())
+func (s *Face) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
+	s.setKeepAlive(w.Header())
 	uri := requestURI(r)
 	path, _, _ := strings.Cut(uri, "?")
 	request := &gateway.Request{
-		Arrived: f.Clock.Now(),
+		Arrived: s.Clock.Now(),
 		Method:  r.Method,
 		URI:     uri,
 		Path:    path,
@@ -136,55 +132,55 @@
 		Header:  httpconn.EndToEnd(r.Header),
 	}
 	writer := &responder{writer: w, control: http.NewResponseController(w)}
-	f.answer(writer, r, request)
-	if writer.broken {
+	s.handle(writer, r, request)
+	if writer.aborted {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// tellRest tells a client how long its connection may rest after this answer.
-func (f *Face) tellRest(h http.Header) {
-	if f.leaving.Load() {
+// setKeepAlive advertises the idle timeout, or closes the connection after the response.
+func (s *Face) setKeepAlive(h http.Header) {
+	if s.closeConns.Load() {
 		h.Set("Connection", "close")
 		return
 	}
-	rest := f.allowance.take(f.Limits()).IdleTimeout - restMargin
-	if seconds := int(rest / time.Second); seconds > 0 {
+	idle := s.clientLimits.update(s.Limits()).IdleTimeout - keepAliveMargin
+	if seconds := int(idle / time.Second); seconds > 0 {
 		h.Set("Keep-Alive", "timeout="+strconv.Itoa(seconds))
 	}
 }
 
-// answer has a request answered. Every request that was read ends here: one that nobody
-// answered, for a fault of ours, gets an answer all the same, or is broken off where that has begun.
-func (f *Face) answer(writer *responder, r *http.Request, request *gateway.Request) {
+// handle runs a request. If the handler fails without a response, it sends an internal error, or
+// aborts the connection if the response has already started.
+func (s *Face) handle(writer *responder, r *http.Request, request *gateway.Request) {
 	defer func() {
 		fault := recover()
-		clientLeft := r.Context().Err() != nil
-		if fault == nil && (writer.answered || clientLeft) {
+		clientGone := r.Context().Err() != nil
+		if fault == nil && (writer.started || clientGone) {
 			return
 		}
-		f.Log.WithFields(logrus.Fields{"event": "request_unanswered", "id": request.ID, "begun": writer.answered, "fault": fault}).Error()
-		if writer.answered {
+		s.Log.WithFields(logrus.Fields{"event": "request_unanswered", "id": request.ID, "begun": writer.started, "fault": fault}).Error()
+		if writer.started {
 			writer.Abort()
 			return
 		}
-		f.refuse(writer, request, failInternal())
+		s.refuse(writer, request, refuseInternal())
 	}()
-	body := &heldBody{account: f.Held}
-	defer body.free()
-	if refusal := f.read(writer, r, request, body); refusal != nil {
-		f.refuse(writer, request, refusal)
+	body := &bodyReservation{quota: s.Held}
+	defer body.release()
+	if refusal := s.read(writer, r, request, body); refusal != nil {
+		s.refuse(writer, request, refusal)
 		return
 	}
-	f.Run(r.Context(), request, writer)
+	s.Run(r.Context(), request, writer)
 }
 
-// failInternal promises nothing: the request may have run.
-func failInternal() *gateway.Refusal {
-	return &gateway.Refusal{Status: http.StatusInternalServerError, Reason: "internal", Message: "this instance failed on the request, which may have run; send its id to those who run it"}
+// refuseInternal does not claim that the request has not run.
+func refuseInternal() *gateway.Refusal {
+	return &gateway.Refusal{Status: http.StatusInternalServerError, Reason: "internal", Message: "an internal error occurred; the request may have run; report its id to the operators of the service"}
 }
 
-// requestURI returns path and query as the client sent them.
+// requestURI returns the path and query as sent by the client.
 func requestURI(r *http.Request) string {
 	if len(r.RequestURI) > 0 && r.RequestURI[0] == '/' {
 		return r.RequestURI
@@ -192,23 +188,23 @@
 	return r.URL.RequestURI()
 }
 
-// read takes the request's headers and body in.
-func (f *Face) read(writer *responder, r *http.Request, request *gateway.Request, held *heldBody) *gateway.Refusal {
-	if f.refusing.Load() {
-		return &gateway.Refusal{Status: http.StatusServiceUnavailable, RetryAfter: comeBack, Reason: "stopping", Message: "this instance stops; the request has not run; send it to another"}
+// read validates the headers and reads the body.
+func (s *Face) read(writer *responder, r *http.Request, request *gateway.Request, held *bodyReservation) *gateway.Refusal {
+	if s.rejecting.Load() {
+		return &gateway.Refusal{Status: http.StatusServiceUnavailable, RetryAfter: refusalRetryAfter, Reason: "stopping", Message: "this instance is shutting down; the request has not run; send it to another instance"}
 	}
-	if headSize(r) > f.allowance.take(f.Limits()).HeaderBytes {
-		return refuseHead()
+	if headerSize(r) > s.clientLimits.update(s.Limits()).HeaderBytes {
+		return refuseHeader()
 	}
-	if err := f.Dialect.Describe(r.Header, request); err != nil {
+	if err := s.Dialect.Describe(r.Header, request); err != nil {
 		return &gateway.Refusal{Status: http.StatusBadRequest, Reason: "bad_header", Message: err.Error()}
 	}
-	limit := int64(bodyBytes)
-	if limits, known := f.Limits(); known && limits.BodyBytes > 0 {
+	limit := int64(defaultMaxBodyBytes)
+	if limits, known := s.Limits(); known && limits.BodyBytes > 0 {
 		limit = limits.BodyBytes
 	}
 	if r.ContentLength > limit {
-		drain(writer, r)
+		drainBody(writer, r)
 		return refuseBody(limit)
 	}
 	if refusal := readBody(writer, r, request, limit, held); refusal != nil {
@@ -216,39 +212,39 @@
 	}
 	wait := request.MaxWait
 	if wait == 0 {
-		wait = defaultWait
+		wait = defaultMaxWait
 	}
-	_ = writer.control.SetWriteDeadline(time.Now().Add(wait + writeSlack))
+	_ = writer.control.SetWriteDeadline(time.Now().Add(wait + writeMargin))
 	return nil
 }
 
-// drain reads what a client still sends of a body that is refused, within bounds: a client
-// whose bytes are not read sees a reset instead of the answer.
-func drain(writer *responder, r *http.Request) {
+// drainBody reads a limited part of a refused body. Without it, the client would see a connection
+// reset instead of the response.
+func drainBody(writer *responder, r *http.Request) {
 	_ = writer.control.SetReadDeadline(time.Now().Add(drainTimeout))
-	_, _ = io.CopyN(io.Discard, r.Body, drainBytes)
+	_, _ = io.CopyN(io.Discard, r.Body, maxDrainBytes)
 }
 
-func readBody(writer *responder, r *http.Request, request *gateway.Request, limit int64, held *heldBody) *gateway.Refusal {
+func readBody(writer *responder, r *http.Request, request *gateway.Request, limit int64, held *bodyReservation) *gateway.Refusal {
 	if r.ContentLength == 0 {
 		return nil
 	}
-	if !held.take(r.ContentLength) {
-		drain(writer, r)
+	if !held.reserve(r.ContentLength) {
+		drainBody(writer, r)
 		return refuseMemory()
 	}
 	_ = writer.control.SetReadDeadline(time.Now().Add(bodyTimeout))
-	body, err := io.ReadAll(held.counted(http.MaxBytesReader(nil, r.Body, limit)))
+	body, err := io.ReadAll(held.track(http.MaxBytesReader(nil, r.Body, limit)))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(err, errNoMemory):
-		drain(writer, r)
+		drainBody(writer, r)
 		return refuseMemory()
 	case errors.As(err, &tooLarge):
-		drain(writer, r)
+		drainBody(writer, r)
 		return refuseBody(limit)
 	case err != nil:
-		return &gateway.Refusal{Status: http.StatusBadRequest, Reason: "bad_body", Message: "the body broke off; send it whole"}
+		return &gateway.Refusal{Status: http.StatusBadRequest, Reason: "bad_body", Message: "the request body is incomplete; send the complete body"}
 	}
 	_ = writer.control.SetReadDeadline(time.Time{})
 	request.Body = body
@@ -256,12 +252,12 @@
 }
 
 func refuseBody(limit int64) *gateway.Refusal {
-	return &gateway.Refusal{Status: http.StatusRequestEntityTooLarge, Reason: "body_too_large", Message: "the body is longer than " + strconv.FormatInt(limit, 10) + " bytes; send less"}
+	return &gateway.Refusal{Status: http.StatusRequestEntityTooLarge, Reason: "body_too_large", Message: "the body exceeds " + strconv.FormatInt(limit, 10) + " bytes; send a smaller one"}
 }
 
-// refuse answers a request that never came to the gateway.
-func (f *Face) refuse(writer *responder, request *gateway.Request, refusal *gateway.Refusal) {
-	f.Log.WithFields(logrus.Fields{"event": "request", "id": request.ID, "status": refusal.Status, "outcome": refusal.Reason}).Info()
+// refuse responds to a request that is not passed to the gateway.
+func (s *Face) refuse(writer *responder, request *gateway.Request, refusal *gateway.Refusal) {
+	s.Log.WithFields(logrus.Fields{"event": "request", "id": request.ID, "status": refusal.Status, "outcome": refusal.Reason}).Info()
 	h := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	if refusal.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(refusal.RetryAfter.Seconds(), 'f', 3, 64))
--- a/service/ingress/ingress_test.go
+++ b/service/ingress/ingress_test.go
@@ -24,17 +24,17 @@
 	RunSpecs(t, "ingress")
 }
 
-// plain takes every request as it is.
+// plain accepts every request.
 type plain struct{ gateway.Dialect }
 
 func (plain) Describe(http.Header, *gateway.Request) error { return nil }
 
-var _ = Describe("what clients may send", func() {
+var _ = Describe("the client limits", func() {
 	var (
 		mu     sync.Mutex
 		limits route.Limits
 		clock  *clockwork.FakeClock
-		f      *Face
+		server *Face
 		l      net.Listener
 	)
 
@@ -47,7 +47,7 @@
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
 		allow(route.Limits{HeaderBytes: 2000, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second})
-		f = New(Options{
+		server = New(Options{
 			Run: func(_ context.Context, _ *gateway.Request, responder gateway.Responder) {
 				responder.Respond(http.StatusOK, http.Header{}, []byte("ran"))
 			},
@@ -63,8 +63,8 @@
 		var err error
 		l, err = net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		go func() { _ = f.Serve(l) }()
-		DeferCleanup(f.Close)
+		go func() { _ = server.Serve(l) }()
+		DeferCleanup(server.Close)
 	})
 
 	connect := func() net.Conn {
@@ -82,7 +82,7 @@
 		return response.StatusCode
 	}
 
-	ended := func(c net.Conn) bool {
+	closed := func(c net.Conn) bool {
 		_ = c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 		_, err := c.Read(make([]byte, 1))
 		timeout, ok := err.(net.Error)
@@ -95,54 +95,54 @@
 		Expect(err).NotTo(HaveOccurred())
 	}
 
-	noted := func(conns map[net.Conn]time.Time) func() int {
+	count := func(conns map[net.Conn]time.Time) func() int {
 		return func() int {
-			f.mu.Lock()
-			defer f.mu.Unlock()
+			server.mu.Lock()
+			defer server.mu.Unlock()
 			return len(conns)
 		}
 	}
 
-	head := func(bytes int) string {
+	header := func(bytes int) string {
 		return "GET /x HTTP/1.1\r\nHost: h\r\nX-Long: " + strings.Repeat("a", bytes) + "\r\n\r\n"
 	}
 
-	It("follows the configuration's bound on heads, and the greatest that was in force", func() {
+	It("follow the highest header size of all configurations", func() {
 		c := connect()
-		send(c, head(1900))
+		send(c, header(1900))
 		Expect(status(c)).To(Equal(http.StatusOK))
 		large := connect()
-		send(large, head(2100))
+		send(large, header(2100))
 		Expect(status(large)).To(Equal(http.StatusRequestHeaderFieldsTooLarge))
 		allow(route.Limits{HeaderBytes: 1000})
-		send(c, head(1900))
+		send(c, header(1900))
 		Expect(status(c)).To(Equal(http.StatusOK))
 	})
 
-	It("closes connections whose head takes longer than the configuration allows", func() {
+	It("close connections that exceed the header timeout", func() {
 		c := connect()
 		send(c, "GET /x HTTP/1.1\r\n")
-		Eventually(noted(f.reading)).Should(Equal(1))
+		Eventually(count(server.reading)).Should(Equal(1))
 		clock.Advance(2 * time.Second)
-		f.sweep()
-		Expect(ended(c)).To(BeFalse())
+		server.sweep()
+		Expect(closed(c)).To(BeFalse())
 		clock.Advance(1100 * time.Millisecond)
-		f.sweep()
-		Eventually(func() bool { return ended(c) }).Should(BeTrue())
+		server.sweep()
+		Eventually(func() bool { return closed(c) }).Should(BeTrue())
 	})
 
-	It("closes connections that rest for longer than it allows, new ones too", func() {
+	It("close idle connections, also unused ones, after the idle timeout", func() {
 		used, unused := connect(), connect()
-		send(used, head(1))
+		send(used, header(1))
 		Expect(status(used)).To(Equal(http.StatusOK))
-		Eventually(noted(f.idle)).Should(Equal(2))
+		Eventually(count(server.idle)).Should(Equal(2))
 		clock.Advance(14 * time.Second)
-		f.sweep()
-		Expect(ended(used)).To(BeFalse())
-		Expect(ended(unused)).To(BeFalse())
+		server.sweep()
+		Expect(closed(used)).To(BeFalse())
+		Expect(closed(unused)).To(BeFalse())
 		clock.Advance(1100 * time.Millisecond)
-		f.sweep()
-		Eventually(func() bool { return ended(used) }).Should(BeTrue())
-		Eventually(func() bool { return ended(unused) }).Should(BeTrue())
+		server.sweep()
+		Eventually(func() bool { return closed(used) }).Should(BeTrue())
+		Eventually(func() bool { return closed(unused) }).Should(BeTrue())
 	})
 })
--- a/service/ingress/responder.go
+++ b/service/ingress/responder.go
@@ -7,44 +7,45 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/gateway"
 )
 
-// responder writes the answer to one request.
+// responder writes the response to one request.
 type responder struct {
 	writer  http.ResponseWriter
 	control *http.ResponseController
-	// answered says that an answer was written, or begun; broken that it is to be broken off.
-	answered bool
-	broken   bool
+	// started is set once the response has started; aborted, if the connection must be closed
+	// before the response is complete.
+	started bool
+	aborted bool
 }
 
 var _ gateway.Responder = (*responder)(nil)
 
 // Respond implements gateway.Responder.
 func (r *responder) Respond(status int, h http.Header, body []byte) {
-	r.answered = true
-	r.head(h)
+	r.started = true
+	r.setHeader(h)
 	if status != http.StatusNoContent && status != http.StatusNotModified {
 		r.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	r.writer.WriteHeader(status)
-	// A client that has left takes nothing.
+	// A write error means that the client has disconnected.
 	_, _ = r.writer.Write(body)
 }
 
-// StartStream implements gateway.Responder. The head goes out with the first event.
+// StartStream implements gateway.Responder. The header is sent with the first event.
 func (r *responder) StartStream(status int, h http.Header) error {
-	r.answered = true
-	r.head(h)
+	r.started = true
+	r.setHeader(h)
 	r.writer.WriteHeader(status)
 	return nil
 }
 
-func (r *responder) head(h http.Header) {
+func (r *responder) setHeader(h http.Header) {
 	header := r.writer.Header()
 	for name, values := range h {
 		header[name] = values
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		// The body's type is not guessed.
+		// A nil value disables content sniffing.
 		header["Content-Type"] = nil
 	}
 }
@@ -58,4 +59,4 @@
 }
 
 // Abort implements gateway.Responder.
-func (r *responder) Abort() { r.answered, r.broken = true, true }
+func (r *responder) Abort() { r.started, r.aborted = true, true }
--- a/service/ingress/waiting.go
+++ b/service/ingress/waiting.go
@@ -5,11 +5,10 @@
 	"syscall"
 )
 
-// bytesWait tells whether bytes have come on a connection that nobody has read yet: a request that
-// came in time must not be cut off. It takes nothing, and does not wait for who reads the
-// connection.
-func bytesWait(c net.Conn) bool {
-	if wrapped, ok := c.(*headConn); ok {
+// hasUnreadData reports whether the socket's receive buffer holds data, so that a request that
+// arrived in time is not cut off. It neither consumes data nor waits for a concurrent Read.
+func hasUnreadData(c net.Conn) bool {
+	if wrapped, ok := c.(*trackingConn); ok {
 		c = wrapped.Conn
 	}
 	raw, ok := c.(syscall.Conn)
@@ -20,11 +19,11 @@
 	if err != nil {
 		return false
 	}
-	wait := false
+	unread := false
 	err = control.Control(func(fd uintptr) {
 		var one [1]byte
 		n, _, peekErr := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		wait = peekErr == nil && n > 0
+		unread = peekErr == nil && n > 0
 	})
-	return err == nil && wait
+	return err == nil && unread
 }
