--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -111,7 +111,7 @@
 
 	batcher  *batch.Batcher
 	executor *pkggateway.Executor
-	ingress  *ingress.Face
+	ingress  *ingress.Server
 	router   *handover.Router
 	handler  *handover.Handler
 	server   *peers.Server
--- a/service/ingress/conns.go
+++ b/service/ingress/conns.go
@@ -9,7 +9,7 @@
 
 // connState tracks idle connections. A connection is idle until the first byte of a request
 // arrives, and active once the request header has been read.
-func (s *Face) connState(c net.Conn, state http.ConnState) {
+func (s *Server) connState(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.idle, c)
@@ -20,7 +20,7 @@
 }
 
 // markReading records that an idle connection has started to receive a request header.
-func (s *Face) markReading(c net.Conn) {
+func (s *Server) markReading(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, idle := s.idle[c]; idle {
@@ -32,7 +32,7 @@
 // trackingListener and trackingConn report incoming data to the server.
 type trackingListener struct {
 	net.Listener
-	server *Face
+	server *Server
 }
 
 // Accept implements net.Listener.
@@ -46,7 +46,7 @@
 
 type trackingConn struct {
 	net.Conn
-	server *Face
+	server *Server
 }
 
 // Read implements net.Conn.
@@ -60,7 +60,7 @@
 
 // Sweep periodically closes connections that exceed the idle or the header timeout. It returns when
 // ctx is done.
-func (s *Face) Sweep(ctx context.Context) {
+func (s *Server) Sweep(ctx context.Context) {
 	ticker := s.Clock.NewTicker(sweepPeriod)
 	defer ticker.Stop()
 	for {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (s *Face) sweep() {
+func (s *Server) sweep() {
 	allowed := s.clientLimits.update(s.Limits())
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/service/ingress/ingress.go
+++ b/service/ingress/ingress.go
@@ -62,8 +62,8 @@
 	Log   *logrus.Entry
 }
 
-// Face is an HTTP server for clients.
-type Face struct {
+// Server serves requests of clients over HTTP.
+type Server struct {
 	Options
 	server   *http.Server
 	inFlight atomic.Int64
@@ -81,11 +81,11 @@
 }
 
 // New returns a server.
-func New(o Options) *Face {
+func New(o Options) *Server {
 	if o.Held == nil {
 		o.Held = memquota.NewQuota(0)
 	}
-	s := &Face{Options: o, idle: map[net.Conn]time.Time{}, reading: map[net.Conn]time.Time{}}
+	s := &Server{Options: o, idle: map[net.Conn]time.Time{}, reading: map[net.Conn]time.Time{}}
 	s.server = &http.Server{
 		Handler:           s,
 		ReadHeaderTimeout: maxHeaderTimeout,
@@ -97,7 +97,7 @@
 }
 
 // Serve accepts connections until the server is closed.
-func (s *Face) Serve(listener net.Listener) error {
+func (s *Server) Serve(listener net.Listener) error {
 	if err := s.server.Serve(&trackingListener{listener, s}); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
@@ -105,19 +105,19 @@
 }
 
 // InFlight returns the number of requests in progress.
-func (s *Face) InFlight() int64 { return s.inFlight.Load() }
+func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
 // Leave disables keep-alive, so that clients move to other instances.
-func (s *Face) Leave() { s.closeConns.Store(true) }
+func (s *Server) Leave() { s.closeConns.Store(true) }
 
 // Refuse rejects new requests.
-func (s *Face) Refuse() { s.rejecting.Store(true) }
+func (s *Server) Refuse() { s.rejecting.Store(true) }
 
 // Close closes the listener and all connections.
-func (s *Face) Close() { _ = s.server.Close() }
+func (s *Server) Close() { _ = s.server.Close() }
 
 // ServeHTTP implements http.Handler.
-func (s *Face) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	s.setKeepAlive(w.Header())
@@ -139,7 +139,7 @@
 }
 
 // setKeepAlive advertises the idle timeout, or closes the connection after the response.
-func (s *Face) setKeepAlive(h http.Header) {
+func (s *Server) setKeepAlive(h http.Header) {
 	if s.closeConns.Load() {
 		h.Set("Connection", "close")
 		return
@@ -152,7 +152,7 @@
 
 // handle runs a request. If the handler fails without a response, it sends an internal error, or
 // aborts the connection if the response has already started.
-func (s *Face) handle(writer *responder, r *http.Request, request *gateway.Request) {
+func (s *Server) handle(writer *responder, r *http.Request, request *gateway.Request) {
 	defer func() {
 		fault := recover()
 		clientGone := r.Context().Err() != nil
@@ -189,7 +189,7 @@
 }
 
 // read validates the headers and reads the body.
-func (s *Face) read(writer *responder, r *http.Request, request *gateway.Request, held *bodyReservation) *gateway.Refusal {
+func (s *Server) read(writer *responder, r *http.Request, request *gateway.Request, held *bodyReservation) *gateway.Refusal {
 	if s.rejecting.Load() {
 		return &gateway.Refusal{Status: http.StatusServiceUnavailable, RetryAfter: refusalRetryAfter, Reason: "stopping", Message: "this instance is shutting down; the request has not run; send it to another instance"}
 	}
@@ -256,7 +256,7 @@
 }
 
 // refuse responds to a request that is not passed to the gateway.
-func (s *Face) refuse(writer *responder, request *gateway.Request, refusal *gateway.Refusal) {
+func (s *Server) refuse(writer *responder, request *gateway.Request, refusal *gateway.Refusal) {
 	s.Log.WithFields(logrus.Fields{"event": "request", "id": request.ID, "status": refusal.Status, "outcome": refusal.Reason}).Info()
 	h := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	if refusal.RetryAfter > 0 {
--- a/service/ingress/ingress_test.go
+++ b/service/ingress/ingress_test.go
@@ -34,7 +34,7 @@
 		mu     sync.Mutex
 		limits route.Limits
 		clock  *clockwork.FakeClock
-		server *Face
+		server *Server
 		l      net.Listener
 	)
 
