--- a/cmd/cobaltcroftd/gateway/stop.go
+++ b/cmd/cobaltcroftd/gateway/stop.go
@@ -39,7 +39,7 @@
 	g.log.WithFields(logrus.Fields{"event": "stopping", "signal": signal.String(), "in_flight": g.ingress.InFlight()}).Info()
 	g.stopping.begin()
 	g.group.Leave()
-	g.ingress.Leave()
+	g.ingress.DisableKeepAlives()
 	end := begin.Add(g.settings.StopGrace() - exitMargin)
 	drain := begin.Add(time.Duration(drainRatio * float64(g.settings.StopGrace())))
 	ticker := g.clock.NewTicker(drainPollPeriod)
--- a/service/ingress/ingress.go
+++ b/service/ingress/ingress.go
@@ -107,8 +107,8 @@
 // InFlight returns the number of requests in progress.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Leave disables keep-alive, so that clients move to other instances.
-func (s *Server) Leave() { s.closeConns.Store(true) }
+// DisableKeepAlives disables keep-alive, so that clients move to other instances.
+func (s *Server) DisableKeepAlives() { s.closeConns.Store(true) }
 
 // Refuse rejects new requests.
 func (s *Server) Refuse() { s.rejecting.Store(true) }
