--- a/cmd/cobaltcroftd/gateway/stop.go
+++ b/cmd/cobaltcroftd/gateway/stop.go
@@ -47,7 +47,7 @@
 	idleSince := begin
 	for now := begin; now.Before(end); now = g.clock.Now() {
 		if now.Sub(begin) >= balancerDelay {
-			g.ingress.Refuse()
+			g.ingress.RejectRequests()
 		}
 		if now.After(drain) {
 			g.executor.Drain()
--- a/service/ingress/ingress.go
+++ b/service/ingress/ingress.go
@@ -110,8 +110,8 @@
 // DisableKeepAlives disables keep-alive, so that clients move to other instances.
 func (s *Server) DisableKeepAlives() { s.closeConns.Store(true) }
 
-// Refuse rejects new requests.
-func (s *Server) Refuse() { s.rejecting.Store(true) }
+// RejectRequests rejects new requests.
+func (s *Server) RejectRequests() { s.rejecting.Store(true) }
 
 // Close closes the listener and all connections.
 func (s *Server) Close() { _ = s.server.Close() }
