--- a/pkg/httpconn/exchange.go
+++ b/pkg/httpconn/exchange.go
@@ -15,44 +15,42 @@
 )
 
 const (
-	// inlineBody is the greatest body that is written before the answer is read.
-	// Longer ones are written beside, since an endpoint may answer before it has
-	// read them.
-	inlineBody = 8 << 10
-	// maxSurplus bounds the answers to earlier calls that are passed over.
-	maxSurplus      = 4
-	maxSurplusBytes = 1 << 20
-	// maxInformational bounds the 1xx answers that are passed over.
+	// maxInlineBody is the largest body that is written before the response is read. A larger body
+	// is written concurrently, because an endpoint may respond before it has read all of it.
+	maxInlineBody = 8 << 10
+	// maxStale and maxStaleBytes limit the responses to earlier calls that are skipped.
+	maxStale      = 4
+	maxStaleBytes = 1 << 20
+	// maxInformational limits the 1xx responses that are skipped.
 	maxInformational = 8
 )
 
-// Call is one message to an endpoint.
+// Call is a request to an endpoint.
 type Call struct {
 	Target Target
 	Method string
-	// URI is path and query, as they go on the wire.
+	// URI is the request target: path and query.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID is the value that the answer carries under the header IDHeader. Answers
-	// that carry another one belong to other calls and are passed over. Empty:
-	// any answer is taken.
+	// ID is the expected value of the response header IDHeader. A response with another value
+	// belongs to another call and is skipped. If ID is empty, any response is accepted.
 	ID       string
 	IDHeader string
-	// MaxRest bounds how long a kept connection may have rested to be used for this
-	// call; negative: only a new one is used.
+	// MaxRest is the longest idle time of a reused connection. If negative, a new connection is
+	// opened.
 	MaxRest time.Duration
 }
 
-// Answer is an endpoint's answer. Its body must be closed.
+// Answer is the response of an endpoint. The caller must close its body.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
 }
 
-// NotSentError says that nothing of the call reached the endpoint.
+// NotSentError is returned if no part of the call reached the endpoint.
 type NotSentError struct{ Cause error }
 
 // Error implements error.
@@ -63,13 +61,13 @@
 
 func notSent(cause error) error { return &NotSentError{Cause: cause} }
 
-// NotSent tells whether err says that nothing of the call was sent.
+// NotSent reports whether err is a NotSentError.
 func NotSent(err error) bool {
 	var e *NotSentError
 	return errors.As(err, &e)
 }
 
-// BarredError says that a gate did not let a call or a connection pass.
+// BarredError is returned if a gate blocked a call or a connection.
 type BarredError struct{ Cause error }
 
 // Error implements error.
@@ -78,68 +76,69 @@
 // Unwrap returns the cause.
 func (e *BarredError) Unwrap() error { return e.Cause }
 
-// Barred tells whether err says that the endpoint may not be used now, which says nothing against it.
+// Barred reports whether err is a BarredError. It does not indicate a fault of the endpoint.
 func Barred(err error) bool {
 	var e *BarredError
 	return errors.As(err, &e)
 }
 
-// Do makes a call and returns the head of its answer. Unless NotSent(err), the endpoint
-// may have acted on the call. When ctx ends, the connection is closed.
+// Do sends a call and returns the response once its header has been read. If it fails and the error
+// is not a NotSentError, the endpoint may have processed the call. The connection is closed when
+// ctx is done.
 func (p *Pool) Do(ctx context.Context, call Call) (*Answer, error) {
-	for _, gate := range []Gate{p.gates.Connect, p.gates.Send} {
-		if err := p.pass(gate, call.Target); err != nil {
+	for _, check := range []Gate{p.gates.Connect, p.gates.Send} {
+		if err := p.check(check, call.Target); err != nil {
 			return nil, err
 		}
 	}
-	c, err := p.take(ctx, call.Target, call.MaxRest)
+	c, err := p.acquire(ctx, call.Target, call.MaxRest)
 	if err != nil {
 		return nil, err
 	}
-	for _, gate := range []Gate{p.gates.Send, p.gates.Spend} {
-		if err := p.pass(gate, call.Target); err != nil {
-			// The endpoint said so to another call, or other calls took what it bears, while this one waited for
-			// its connection.
-			p.keep(c, 0)
+	for _, check := range []Gate{p.gates.Send, p.gates.Spend} {
+		if err := p.check(check, call.Target); err != nil {
+			// The endpoint may have been blocked, or its limit used up by other calls, while this
+			// call waited for a connection.
+			p.put(c, 0)
 			return nil, err
 		}
 	}
 	x := &exchange{pool: p, conn: c, call: call, written: make(chan error, 1)}
-	x.unhook = context.AfterFunc(ctx, func() { _ = c.Close() })
+	x.stopWatch = context.AfterFunc(ctx, func() { _ = c.Close() })
 	if err := x.write(); err != nil {
-		x.fail()
-		return nil, problem.Wrap(err, problem.Unknown, "it may have run; send it elsewhere only if it may be repeated", "call to endpoint %s broke while it was sent", call.Target.ID)
+		x.abort()
+		return nil, problem.Wrap(err, problem.Unknown, "the call may have run; retry it only if it is idempotent", "sending the call to endpoint %s failed", call.Target.ID)
 	}
-	response, err := x.readHead()
+	response, err := x.readHeader()
 	if err != nil {
-		x.fail()
-		return nil, problem.Wrap(err, problem.Unknown, "it may have run; send it elsewhere only if it may be repeated", "endpoint %s gave no answer", call.Target.ID)
+		x.abort()
+		return nil, problem.Wrap(err, problem.Unknown, "the call may have run; retry it only if it is idempotent", "endpoint %s did not respond", call.Target.ID)
 	}
 	x.response = response
 	return &Answer{Status: response.StatusCode, Header: response.Header, Body: x}, nil
 }
 
-// exchange is a call under way. As an io.ReadCloser it is the answer's body.
+// exchange is a call in progress. It implements io.ReadCloser for the response body.
 type exchange struct {
-	pool     *Pool
-	conn     *conn
-	call     Call
-	unhook   func() bool
-	written  chan error
-	response *http.Response
-	whole    bool
-	closed   bool
+	pool      *Pool
+	conn      *conn
+	call      Call
+	stopWatch func() bool
+	written   chan error
+	response  *http.Response
+	complete  bool
+	closed    bool
 }
 
 func (x *exchange) write() error {
-	head := x.head()
-	if len(x.call.Body) <= inlineBody {
-		head.Write(x.call.Body)
-		_, err := x.conn.Write(head.Bytes())
+	header := x.header()
+	if len(x.call.Body) <= maxInlineBody {
+		header.Write(x.call.Body)
+		_, err := x.conn.Write(header.Bytes())
 		x.written <- err
 		return err
 	}
-	if _, err := x.conn.Write(head.Bytes()); err != nil {
+	if _, err := x.conn.Write(header.Bytes()); err != nil {
 		return err
 	}
 	go func() {
@@ -149,33 +148,33 @@
 	return nil
 }
 
-// hopHeaders concern one connection only and do not travel on.
+// hopHeaders are the hop-by-hop headers, which are not forwarded.
 var hopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Host": true, "Expect": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true,
 }
 
-// EndToEnd returns the headers of a message that travel on, without those that concern
-// one connection, named so by the standard or by the Connection header.
+// EndToEnd returns the headers without the hop-by-hop ones: the standard ones and those listed in
+// the Connection header.
 func EndToEnd(h http.Header) http.Header {
-	named := map[string]bool{}
+	hopByHop := map[string]bool{}
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
-			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			hopByHop[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
-	kept := make(http.Header, len(h))
+	endToEnd := make(http.Header, len(h))
 	for name, values := range h {
-		if !hopHeaders[name] && !named[name] {
-			kept[name] = values
+		if !hopHeaders[name] && !hopByHop[name] {
+			endToEnd[name] = values
 		}
 	}
-	return kept
+	return endToEnd
 }
 
-func (x *exchange) head() *bytes.Buffer {
-	b := bytes.NewBuffer(make([]byte, 0, 1024+min(len(x.call.Body), inlineBody)))
+func (x *exchange) header() *bytes.Buffer {
+	b := bytes.NewBuffer(make([]byte, 0, 1024+min(len(x.call.Body), maxInlineBody)))
 	b.WriteString(x.call.Method)
 	b.WriteByte(' ')
 	b.WriteString(x.call.URI)
@@ -199,11 +198,11 @@
 	return b
 }
 
-// readHead reads answers until one belongs to this call.
-func (x *exchange) readHead() (*http.Response, error) {
+// readHeader reads responses until one belongs to this call.
+func (x *exchange) readHeader() (*http.Response, error) {
 	request := &http.Request{Method: x.call.Method}
 	informational := 0
-	for surplus := 0; surplus <= maxSurplus; {
+	for stale := 0; stale <= maxStale; {
 		response, err := http.ReadResponse(x.conn.reader, request)
 		if err != nil {
 			return nil, err
@@ -214,54 +213,54 @@
 			}
 			continue
 		}
-		x.pool.heard(x.call.Target, x.call.URI, response.StatusCode, response.Header)
+		x.pool.observe(x.call.Target, x.call.URI, response.StatusCode, response.Header)
 		id := response.Header.Get(x.call.IDHeader)
 		if x.call.ID == "" || id == "" || id == x.call.ID {
 			return response, nil
 		}
-		surplus++
-		n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSurplusBytes))
-		if err != nil || n == maxSurplusBytes {
-			return nil, errors.Newf("an answer to another call did not end (%v)", err)
+		stale++
+		n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStaleBytes))
+		if err != nil || n == maxStaleBytes {
+			return nil, errors.Newf("cannot skip a response to another call (%v)", err)
 		}
 	}
-	return nil, errors.New("only answers to other calls came")
+	return nil, errors.New("received only responses to other calls")
 }
 
-// Read reads the answer's body. It ends with io.EOF only if the whole body came.
+// Read implements io.Reader. It returns io.EOF only at the end of a complete body.
 func (x *exchange) Read(buffer []byte) (int, error) {
 	n, err := x.response.Body.Read(buffer)
 	if err == io.EOF {
-		x.whole = true
+		x.complete = true
 	}
 	return n, err
 }
 
-// Close ends the call. The connection is kept if the whole exchange went well.
+// Close ends the call. The connection is reused if both request and response are complete.
 func (x *exchange) Close() error {
 	if x.closed {
 		return nil
 	}
 	x.closed = true
-	if !x.whole {
-		x.whole = x.atEnd()
+	if !x.complete {
+		x.complete = x.emptyBody()
 	}
-	if !x.unhook() || !x.whole || x.response.Close || !x.allWritten() || x.call.MaxRest < 0 {
+	if !x.stopWatch() || !x.complete || x.response.Close || !x.requestSent() || x.call.MaxRest < 0 {
 		x.pool.discard(x.conn)
 		return nil
 	}
-	x.pool.keep(x.conn, keepAlive(x.response.Header))
+	x.pool.put(x.conn, keepAlive(x.response.Header))
 	return nil
 }
 
-// atEnd tells whether a body without bytes has ended.
-func (x *exchange) atEnd() bool {
+// emptyBody reports whether the response has no body.
+func (x *exchange) emptyBody() bool {
 	return x.response.ContentLength == 0 || x.response.Body == http.NoBody
 }
 
-// allWritten tells whether the call was sent whole: an endpoint that answered before it
-// had read all goes on reading.
-func (x *exchange) allWritten() bool {
+// requestSent reports whether the request has been written completely. An endpoint may respond
+// before it has read all of it.
+func (x *exchange) requestSent() bool {
 	select {
 	case err := <-x.written:
 		return err == nil
@@ -270,12 +269,12 @@
 	}
 }
 
-func (x *exchange) fail() {
-	x.unhook()
+func (x *exchange) abort() {
+	x.stopWatch()
 	x.pool.discard(x.conn)
 }
 
-// keepAlive returns the time that an answer tells for its connection, or 0.
+// keepAlive returns the timeout in the Keep-Alive header, or 0 if there is none.
 func keepAlive(h http.Header) time.Duration {
 	for _, line := range h["Keep-Alive"] {
 		for part := range strings.SplitSeq(line, ",") {
--- a/pkg/httpconn/httpconn_test.go
+++ b/pkg/httpconn/httpconn_test.go
@@ -26,20 +26,20 @@
 	RunSpecs(t, "httpconn")
 }
 
-// server answers each request on a connection with what the test says.
+// server sends the responses that a test defines.
 type server struct {
 	net.Listener
 	conns atomic.Int32
-	// answer returns the bytes sent for a request, and whether the connection goes on.
-	answer func(n int, r *http.Request) (string, bool)
-	// afterAnswer, if set, is called some time after each answer.
-	afterAnswer func(c net.Conn)
+	// respond returns the bytes sent for request n, and whether to keep the connection open.
+	respond func(n int, r *http.Request) (string, bool)
+	// afterResponse, if set, is called a short time after each response.
+	afterResponse func(c net.Conn)
 }
 
-func serve(answer func(n int, r *http.Request) (string, bool)) *server {
+func serve(respond func(n int, r *http.Request) (string, bool)) *server {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	s := &server{Listener: listener, answer: answer}
+	s := &server{Listener: listener, respond: respond}
 	DeferCleanup(listener.Close)
 	go func() {
 		for {
@@ -63,13 +63,13 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
-		bytes, more := s.answer(n, r)
+		bytes, keepOpen := s.respond(n, r)
 		_, _ = io.WriteString(c, bytes)
-		if s.afterAnswer != nil {
+		if s.afterResponse != nil {
 			time.Sleep(20 * time.Millisecond)
-			s.afterAnswer(c)
+			s.afterResponse(c)
 		}
-		if !more {
+		if !keepOpen {
 			return
 		}
 	}
@@ -79,7 +79,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-var _ = Describe("a pool of connections", func() {
+var _ = Describe("the connection pool", func() {
 	var (
 		clock *clockwork.FakeClock
 		pool  *httpconn.Pool
@@ -100,12 +100,12 @@
 	}
 
 	do := func(c httpconn.Call) (string, error) {
-		answer, err := pool.Do(context.Background(), c)
+		response, err := pool.Do(context.Background(), c)
 		if err != nil {
 			return "", err
 		}
-		defer answer.Body.Close()
-		body, err := io.ReadAll(answer.Body)
+		defer response.Body.Close()
+		body, err := io.ReadAll(response.Body)
 		return string(body), err
 	}
 
@@ -113,24 +113,24 @@
 		return plain(r.Header.Get("X-Id"), "for "+r.Header.Get("X-Id")), true
 	}
 
-	It("sends nothing to an endpoint to which only connections may be made, and makes those", func() {
+	It("does not send calls to an endpoint that allows only connections", func() {
 		s := serve(echo)
-		errBarred := errors.New("barred")
-		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.Open, Spend: httpconn.Open, Send: func(httpconn.Target) error { return errBarred }}, httpconn.Deaf)
+		errBlocked := errors.New("blocked")
+		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.Open, Spend: httpconn.Open, Send: func(httpconn.Target) error { return errBlocked }}, httpconn.Deaf)
 		DeferCleanup(pool.Close)
 		_, err := do(call(s, "1"))
-		Expect(err).To(MatchError(errBarred))
+		Expect(err).To(MatchError(errBlocked))
 		Expect(httpconn.NotSent(err)).To(BeTrue())
 		Expect(s.conns.Load()).To(BeZero())
 		Expect(pool.Reach(context.Background(), call(s, "1").Target)).To(Succeed())
 	})
 
-	It("asks once more when a call has its connection, and keeps that for others", func() {
+	It("checks the Send gate again before sending, and keeps the connection if it is blocked", func() {
 		s := serve(echo)
-		asked := 0
+		checks := 0
 		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.Open, Spend: httpconn.Open, Send: func(httpconn.Target) error {
-			if asked++; asked == 2 {
-				return errors.New("said so meanwhile")
+			if checks++; checks == 2 {
+				return errors.New("blocked in the meantime")
 			}
 			return nil
 		}}, httpconn.Deaf)
@@ -142,13 +142,13 @@
 		Expect(s.conns.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("counts each call once, right before it is sent, and sends none that may not be spent", func() {
+	It("checks the Spend gate once for each call and does not send a blocked call", func() {
 		s := serve(echo)
-		left, asked := 2, 0
+		left, checks := 2, 0
 		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.Open, Send: httpconn.Open, Spend: func(httpconn.Target) error {
-			asked++
+			checks++
 			if left == 0 {
-				return errors.New("spent")
+				return errors.New("limit reached")
 			}
 			left--
 			return nil
@@ -159,32 +159,32 @@
 		_, err := do(call(s, "3"))
 		Expect(httpconn.NotSent(err)).To(BeTrue())
 		Expect(httpconn.Barred(err)).To(BeTrue())
-		Expect(asked).To(Equal(3))
+		Expect(checks).To(Equal(3))
 		left = 1
 		Expect(do(call(s, "4"))).To(Equal("for 4"))
-		Expect(s.conns.Load()).To(BeEquivalentTo(1), "the connection was kept")
+		Expect(s.conns.Load()).To(BeEquivalentTo(1), "the connection was reused")
 	})
 
-	It("tells of the heads of all answers, of those to other calls too", func() {
+	It("reports the headers of all responses, including those to other calls", func() {
 		s := serve(func(_ int, r *http.Request) (string, bool) {
 			return plain("another", "x") + plain(r.Header.Get("X-Id"), "y"), true
 		})
-		var heard []string
+		var observed []string
 		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.Open, Spend: httpconn.Open, Send: httpconn.Open}, func(target httpconn.Target, _ string, status int, h http.Header) {
-			heard = append(heard, fmt.Sprint(target.ID, " ", status, " ", h.Get("X-Id")))
+			observed = append(observed, fmt.Sprint(target.ID, " ", status, " ", h.Get("X-Id")))
 		})
 		DeferCleanup(pool.Close)
 		Expect(do(call(s, "1"))).To(Equal("y"))
-		Expect(heard).To(Equal([]string{"e 200 another", "e 200 1"}))
+		Expect(observed).To(Equal([]string{"e 200 another", "e 200 1"}))
 	})
 
-	It("sends nothing that the gate does not let pass, and says that nothing was sent", func() {
+	It("does not send calls that the Connect gate blocks, and returns a NotSentError", func() {
 		s := serve(echo)
-		errBarred := errors.New("barred")
-		barred := true
+		errBlocked := errors.New("blocked")
+		blocked := true
 		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Send: httpconn.Open, Spend: httpconn.Open, Connect: func(target httpconn.Target) error {
-			if barred && target.FailureDomain == "a" {
-				return errBarred
+			if blocked && target.FailureDomain == "a" {
+				return errBlocked
 			}
 			return nil
 		}}, httpconn.Deaf)
@@ -192,14 +192,14 @@
 		c := call(s, "1")
 		c.Target.FailureDomain = "a"
 		_, err := do(c)
-		Expect(err).To(MatchError(errBarred))
+		Expect(err).To(MatchError(errBlocked))
 		Expect(httpconn.NotSent(err)).To(BeTrue())
 		Expect(httpconn.NotSent(pool.Reach(context.Background(), c.Target))).To(BeTrue())
 		Expect(s.conns.Load()).To(BeZero())
-		By("not over a kept connection either")
-		barred = false
+		By("not over an idle connection either")
+		blocked = false
 		Expect(do(c)).To(Equal("for 1"))
-		barred = true
+		blocked = true
 		_, err = do(c)
 		Expect(httpconn.NotSent(err)).To(BeTrue())
 		other := call(s, "2")
@@ -207,7 +207,7 @@
 		Expect(do(other)).To(Equal("for 2"))
 	})
 
-	It("keeps connections, for as long as is allowed", func() {
+	It("reuses connections within the idle time that the call allows", func() {
 		s := serve(echo)
 		for n := range 3 {
 			Expect(do(call(s, fmt.Sprint(n)))).To(Equal(fmt.Sprint("for ", n)))
@@ -215,14 +215,14 @@
 		Expect(s.conns.Load()).To(Equal(int32(1)))
 		clock.Advance(2 * time.Second)
 		Expect(do(call(s, "a"))).To(Equal("for a"))
-		Expect(s.conns.Load()).To(Equal(int32(2)), "it rested longer than the call allows")
+		Expect(s.conns.Load()).To(Equal(int32(2)), "it was idle for longer than the call allows")
 		fresh := call(s, "b")
 		fresh.MaxRest = -1
 		Expect(do(fresh)).To(Equal("for b"))
 		Expect(s.conns.Load()).To(Equal(int32(3)))
 	})
 
-	It("gives connections up that the endpoint will close, or has closed", func() {
+	It("does not reuse connections that the endpoint is about to close or has closed", func() {
 		s := serve(func(_ int, r *http.Request) (string, bool) {
 			id := r.Header.Get("X-Id")
 			return strings.Replace(plain(id, "x"), "\r\n", "\r\nKeep-Alive: timeout=2\r\n", 1), id != "closes"
@@ -240,11 +240,11 @@
 		}).Should(Succeed())
 	})
 
-	It("never uses a connection on which bytes came unasked", func() {
+	It("does not reuse a connection with unsolicited data", func() {
 		s := serve(func(n int, r *http.Request) (string, bool) {
 			id := r.Header.Get("X-Id")
 			if n == 0 {
-				return plain(id, "own") + plain(id, "surplus"), true
+				return plain(id, "own") + plain(id, "unsolicited"), true
 			}
 			return plain(id, "own"), true
 		})
@@ -253,50 +253,50 @@
 		}
 	})
 
-	It("never takes what came while a connection rested for an answer, though it names no call", func() {
-		late := make(chan struct{})
+	It("does not accept a response that arrived while the connection was idle, even without an ID", func() {
+		sent := make(chan struct{})
 		s := serve(func(_ int, r *http.Request) (string, bool) {
 			return plain(r.Header.Get("X-Id"), "own"), true
 		})
-		s.afterAnswer = func(c net.Conn) {
+		s.afterResponse = func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-			late <- struct{}{}
+			sent <- struct{}{}
 		}
 		for n := range 4 {
-			answer, err := pool.Do(context.Background(), call(s, fmt.Sprint(n)))
+			response, err := pool.Do(context.Background(), call(s, fmt.Sprint(n)))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(answer.Status).To(Equal(http.StatusOK))
-			_, err = io.ReadAll(answer.Body)
+			Expect(response.Status).To(Equal(http.StatusOK))
+			_, err = io.ReadAll(response.Body)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(answer.Body.Close()).To(Succeed())
-			<-late
+			Expect(response.Body.Close()).To(Succeed())
+			<-sent
 		}
 	})
 
-	It("passes answers to other calls over", func() {
+	It("skips responses to other calls", func() {
 		s := serve(func(_ int, r *http.Request) (string, bool) {
-			return plain("other", "crossed") + "HTTP/1.1 103 Early Hints\r\n\r\n" + plain(r.Header.Get("X-Id"), "own"), true
+			return plain("other", "stale") + "HTTP/1.1 103 Early Hints\r\n\r\n" + plain(r.Header.Get("X-Id"), "own"), true
 		})
 		Expect(do(call(s, "1"))).To(Equal("own"))
 	})
 
-	DescribeTable("never takes an answer for whole that is not",
+	DescribeTable("does not accept incomplete responses",
 		func(bytes string) {
 			s := serve(func(int, *http.Request) (string, bool) { return bytes, false })
 			_, err := do(call(s, "1"))
 			Expect(err).To(HaveOccurred())
 			Expect(httpconn.NotSent(err)).To(BeFalse())
 		},
-		Entry("nothing", ""),
-		Entry("no answer", "\x00\x01\x02\r\n\r\n"),
-		Entry("half a head", "HTTP/1.1 200 OK\r\nX-Id: 1\r\n"),
-		Entry("half a body", "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 10\r\n\r\nhalf"),
-		Entry("half a chunk", "HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\na\r\nhalf"),
+		Entry("empty", ""),
+		Entry("not HTTP", "\x00\x01\x02\r\n\r\n"),
+		Entry("truncated header", "HTTP/1.1 200 OK\r\nX-Id: 1\r\n"),
+		Entry("truncated body", "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 10\r\n\r\nhalf"),
+		Entry("truncated chunk", "HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\na\r\nhalf"),
 		Entry("no last chunk", "HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"),
-		Entry("only another's", plain("2", "x")),
+		Entry("only a response to another call", plain("2", "x")),
 	)
 
-	It("says that nothing was sent when there is no connection", func() {
+	It("returns a NotSentError if it cannot connect", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		s := &server{Listener: listener}
@@ -306,7 +306,7 @@
 		Expect(httpconn.NotSent(err)).To(BeTrue())
 	})
 
-	It("keeps to its part of the endpoint's connections", func() {
+	It("does not exceed the connection limit of the endpoint", func() {
 		hold := make(chan struct{})
 		s := serve(func(int, *http.Request) (string, bool) {
 			<-hold
@@ -327,7 +327,7 @@
 		Expect(do(c)).To(Equal("x"))
 	})
 
-	It("ends a call with its context", func() {
+	It("aborts a call when its context is done", func() {
 		s := serve(func(int, *http.Request) (string, bool) { select {} })
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
@@ -340,7 +340,7 @@
 		Eventually(done).Should(Receive(HaveOccurred()))
 	})
 
-	It("drops what concerns one connection", func() {
+	It("removes hop-by-hop headers", func() {
 		h := http.Header{"Connection": {"X-Hop, close"}, "X-Hop": {"1"}, "Keep-Alive": {"timeout=5"}, "Transfer-Encoding": {"chunked"}, "X-Own": {"1"}}
 		Expect(httpconn.EndToEnd(h)).To(Equal(http.Header{"X-Own": {"1"}}))
 	})
--- a/pkg/httpconn/pool.go
+++ b/pkg/httpconn/pool.go
@@ -1,6 +1,6 @@
-// Package httpconn exchanges HTTP/1.1 messages with endpoints over connections of its
-// own. It never sends anything twice: whether a call may have reached its endpoint is
-// told in the error, and what to do then is the caller's choice.
+// Package httpconn exchanges HTTP/1.1 messages with endpoints over its own connection pool. It
+// never retries a call: the error reports whether the call may have reached the endpoint, and the
+// caller decides what to do.
 package httpconn
 
 import (
@@ -18,59 +18,59 @@
 )
 
 const (
-	// DefaultDialTimeout bounds how long a connection may take to come up.
+	// DefaultDialTimeout is the timeout for establishing a connection.
 	DefaultDialTimeout = 300 * time.Millisecond
-	// keepAliveMargin is how long before the time that the endpoint told a kept
-	// connection is given up, so that it is not used while it is being closed.
+	// keepAliveMargin is subtracted from the keep-alive timeout of an endpoint, so that a
+	// connection is not reused while the endpoint is closing it.
 	keepAliveMargin = time.Second
-	// defaultKeep is how long a connection is kept whose endpoint told no time.
-	defaultKeep = 4 * time.Second
-	readBuffer  = 4 << 10
+	// defaultIdleTimeout applies to endpoints that advertise no keep-alive timeout.
+	defaultIdleTimeout = 4 * time.Second
+	readBufferSize     = 4 << 10
 )
 
-// Target is the endpoint of a call.
 type Target struct {
-	// ID is the endpoint's incarnation: connections are never shared between two.
-	ID      string
-	Address string
-	// FailureDomain that the endpoint stands in.
+	// ID is the endpoint's incarnation. Connections are not shared between incarnations.
+	ID            string
+	Address       string
 	FailureDomain string
-	// MaxConnections bounds this pool's connections to the endpoint; 0: no bound.
+	// MaxConnections limits this pool's connections to the endpoint; 0 means unlimited.
 	MaxConnections int
 }
 
-// Gate says whether an endpoint may be used now: the error tells why not.
+// Gate checks whether an endpoint may be used now. The error is the reason if it may not.
 type Gate func(Target) error
 
-// Gates are passed last, so that what was planned, queued or chosen before an order came is not done.
+// Gates are checked immediately before a call, so that they also apply to calls that were already
+// planned, queued or assigned to an endpoint.
 type Gates struct {
-	// Connect is passed by connections and calls, Send by calls alone: a connection that is made and
-	// closed again asks nothing of an endpoint.
+	// Connect is checked for connections and calls, Send only for calls: opening and closing a
+	// connection puts no load on the endpoint.
 	Connect Gate
 	Send    Gate
-	// Spend is passed once by each call, right before it is sent: what it lets pass is counted.
+	// Spend is checked exactly once for each call, right before it is sent. It may consume a
+	// permit.
 	Spend Gate
 }
 
-// Heard is told the head of each answer that an endpoint gave on the connection of a call, whichever call the answer
-// belongs to. The URI is that of the call.
+// Heard is called with the status and header of each response, including responses to other calls
+// on the same connection. The URI is that of the current call.
 type Heard func(target Target, uri string, status int, h http.Header)
 
-// Open is the gate that lets all pass.
+// Open is a Gate that always allows.
 func Open(Target) error { return nil }
 
-// Deaf takes in nothing of what endpoints answer.
+// Deaf is an observer that ignores all responses.
 func Deaf(Target, string, int, http.Header) {}
 
-// Pool keeps connections to endpoints. Safe for concurrent use.
+// Pool is a pool of connections to endpoints. It is safe for concurrent use.
 type Pool struct {
 	clock       clockwork.Clock
 	dialTimeout time.Duration
 	gates       Gates
-	heard       Heard
+	observe     Heard
 	dialed      *metrics.Counter
 	reused      *metrics.Counter
-	barred      *metrics.Counter
+	blocked     *metrics.Counter
 
 	mu        sync.Mutex
 	endpoints map[string]*endpointConns
@@ -82,48 +82,48 @@
 	open int
 }
 
-// conn is one connection. It belongs to one call at a time.
+// conn is a connection. It is used by one call at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
 	target string
-	// restedSince is when its last call ended; until is when it is no longer kept.
-	restedSince time.Time
-	until       time.Time
+	// idleSince is the end of the last call; expires is when the connection must be closed.
+	idleSince time.Time
+	expires   time.Time
 }
 
-// NewPool returns a pool without connections. Counters are made in set.
-func NewPool(clock clockwork.Clock, set *metrics.Set, gates Gates, heard Heard) *Pool {
+// NewPool returns an empty pool that registers its counters in set.
+func NewPool(clock clockwork.Clock, set *metrics.Set, gates Gates, observe Heard) *Pool {
 	return &Pool{
 		clock:       clock,
 		dialTimeout: DefaultDialTimeout,
 		gates:       gates,
-		heard:       heard,
+		observe:     observe,
 		dialed:      set.NewCounter("cobaltcroft_endpoint_connections_opened_total"),
 		reused:      set.NewCounter("cobaltcroft_endpoint_connections_reused_total"),
-		barred:      set.NewCounter("cobaltcroft_endpoint_calls_barred_total"),
+		blocked:     set.NewCounter("cobaltcroft_endpoint_calls_barred_total"),
 		endpoints:   map[string]*endpointConns{},
 	}
 }
 
-// pass tells whether a gate lets a connection or a call pass.
-func (p *Pool) pass(gate Gate, target Target) error {
-	if err := gate(target); err != nil {
-		p.barred.Inc()
+// check returns a BlockedError if a gate does not allow the target.
+func (p *Pool) check(check Gate, target Target) error {
+	if err := check(target); err != nil {
+		p.blocked.Inc()
 		return notSent(&BarredError{err})
 	}
 	return nil
 }
 
-// take returns a kept connection that rested for at most maxRest, or a new one.
-func (p *Pool) take(ctx context.Context, target Target, maxRest time.Duration) (*conn, error) {
-	kept, err := p.reserve(target, maxRest)
+// acquire returns a connection that has been idle for at most maxIdle, or a new one.
+func (p *Pool) acquire(ctx context.Context, target Target, maxIdle time.Duration) (*conn, error) {
+	idle, err := p.reserve(target, maxIdle)
 	if err != nil {
 		return nil, err
 	}
-	if kept != nil {
+	if idle != nil {
 		p.reused.Inc()
-		return kept, nil
+		return idle, nil
 	}
 	c, err := p.dial(ctx, target)
 	if err != nil {
@@ -134,12 +134,13 @@
 	return c, nil
 }
 
-// reserve takes a kept connection, or counts a new one in and returns nil.
-func (p *Pool) reserve(target Target, maxRest time.Duration) (*conn, error) {
+// reserve returns an idle connection. If there is none, it returns nil and counts a connection that
+// the caller must open.
+func (p *Pool) reserve(target Target, maxIdle time.Duration) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		return nil, notSent(problem.New(problem.Unavailable, "send the request to another instance", "this instance has stopped"))
+		return nil, notSent(problem.New(problem.Unavailable, "send the request to another instance", "this instance has shut down"))
 	}
 	e := p.endpoints[target.ID]
 	if e == nil {
@@ -150,14 +151,14 @@
 	for len(e.idle) > 0 {
 		c := e.idle[len(e.idle)-1]
 		e.idle = e.idle[:len(e.idle)-1]
-		if now.Sub(c.restedSince) <= maxRest && now.Before(c.until) && quiet(c.Conn) {
+		if now.Sub(c.idleSince) <= maxIdle && now.Before(c.expires) && reusable(c.Conn) {
 			return c, nil
 		}
 		e.open--
 		_ = c.Close()
 	}
 	if target.MaxConnections > 0 && e.open >= target.MaxConnections {
-		return nil, notSent(problem.New(problem.Overloaded, "wait until a call at this endpoint ends", "endpoint %s: all %d connections are in use", target.ID, e.open))
+		return nil, notSent(problem.New(problem.Overloaded, "wait for a call to this endpoint to complete", "endpoint %s: all %d connections are in use", target.ID, e.open))
 	}
 	e.open++
 	return nil, nil
@@ -167,14 +168,14 @@
 	dialer := net.Dialer{Timeout: p.dialTimeout, KeepAlive: -1}
 	c, err := dialer.DialContext(ctx, "tcp", target.Address)
 	if err != nil {
-		return nil, notSent(problem.Wrap(err, problem.Unavailable, "use another endpoint", "endpoint %s at %s is not reached", target.ID, target.Address))
+		return nil, notSent(problem.Wrap(err, problem.Unavailable, "use another endpoint", "cannot connect to endpoint %s at %s", target.ID, target.Address))
 	}
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer), target: target.ID}, nil
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBufferSize), target: target.ID}, nil
 }
 
-// Reach tells whether an endpoint takes connections: one is made, and closed again.
+// Reach opens a connection to an endpoint and closes it again.
 func (p *Pool) Reach(ctx context.Context, target Target) error {
-	if err := p.pass(p.gates.Connect, target); err != nil {
+	if err := p.check(p.gates.Connect, target); err != nil {
 		return err
 	}
 	c, err := p.dial(ctx, target)
@@ -185,7 +186,7 @@
 	return c.Close()
 }
 
-// release counts a connection out.
+// release removes a connection from the number of open ones.
 func (p *Pool) release(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -203,56 +204,55 @@
 	}
 }
 
-// discard closes a connection that must not be used again.
+// discard closes a connection and removes it from the pool.
 func (p *Pool) discard(c *conn) {
 	_ = c.Close()
 	p.release(c.target)
 }
 
-// keep puts a connection back for further calls. The time that the endpoint told is 0
-// if it told none.
-func (p *Pool) keep(c *conn, told time.Duration) {
-	keepFor := defaultKeep
-	if told > 0 {
-		keepFor = min(keepFor, told-keepAliveMargin)
+// put returns a connection to the pool. The advertised keep-alive timeout is 0 if the endpoint sent
+// none.
+func (p *Pool) put(c *conn, advertised time.Duration) {
+	idleTimeout := defaultIdleTimeout
+	if advertised > 0 {
+		idleTimeout = min(idleTimeout, advertised-keepAliveMargin)
 	}
 	p.mu.Lock()
 	e := p.endpoints[c.target]
-	if p.closed || e == nil || keepFor <= 0 || c.reader.Buffered() > 0 {
+	if p.closed || e == nil || idleTimeout <= 0 || c.reader.Buffered() > 0 {
 		p.mu.Unlock()
 		p.discard(c)
 		return
 	}
-	c.restedSince = p.clock.Now()
-	c.until = c.restedSince.Add(keepFor)
+	c.idleSince = p.clock.Now()
+	c.expires = c.idleSince.Add(idleTimeout)
 	e.idle = append(e.idle, c)
 	p.mu.Unlock()
 }
 
-// Sweep closes kept connections that have rested for their time, and those to
-// endpoints that are not to be kept.
+// Sweep closes expired connections and those to endpoints for which keep returns false.
 func (p *Pool) Sweep(keep func(id string) bool) {
 	p.mu.Lock()
 	now := p.clock.Now()
-	var closing []*conn
+	var expired []*conn
 	for id, e := range p.endpoints {
 		kept := e.idle[:0]
 		for _, c := range e.idle {
-			if now.Before(c.until) && keep(id) {
+			if now.Before(c.expires) && keep(id) {
 				kept = append(kept, c)
 				continue
 			}
-			closing = append(closing, c)
+			expired = append(expired, c)
 		}
 		e.idle = kept
 	}
 	p.mu.Unlock()
-	for _, c := range closing {
+	for _, c := range expired {
 		p.discard(c)
 	}
 }
 
-// Close closes the kept connections; those in use are closed by their calls.
+// Close closes idle connections. Active ones are closed when their calls end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/pkg/httpconn/probe.go
+++ b/pkg/httpconn/probe.go
@@ -6,22 +6,21 @@
 	"syscall"
 )
 
-// Sign is what an endpoint's address answers to a new connection.
+// Sign is the result of a probe.
 type Sign string
 
-// The signs.
+// The results of a probe.
 const (
-	// Lives: it takes connections.
+	// Lives: the endpoint accepts connections.
 	Lives Sign = "lives"
-	// Ended: no process listens there.
+	// Ended: the connection was refused; no process listens on the address.
 	Ended Sign = "ended"
-	// Silent: there was no answer, so that nothing is known: the endpoint or the way there may
-	// be cut off.
+	// Silent: the state is unknown; the endpoint or the network may have failed.
 	Silent Sign = "silent"
 )
 
-// Probe asks whether an endpoint takes connections: one is made, and closed again. A call whose
-// connection broke says nothing of that: its answer alone may have been lost.
+// Probe checks whether an endpoint accepts connections. The failure of a call does not show this,
+// because the endpoint may have failed only that call.
 func (p *Pool) Probe(ctx context.Context, target Target) Sign {
 	err := p.Reach(ctx, target)
 	switch {
--- a/pkg/httpconn/probe_test.go
+++ b/pkg/httpconn/probe_test.go
@@ -28,11 +28,11 @@
 		return pool.Probe(ctx, httpconn.Target{ID: "endpoint", Address: address})
 	}
 
-	It("says that it lives if it takes a connection, even though its answers break off", func(ctx SpecContext) {
+	It("reports an endpoint as alive if it accepts a connection, even if its responses are incomplete", func(ctx SpecContext) {
 		Expect(probe(ctx, httpconn.Open)).To(Equal(httpconn.Lives))
 	})
 
-	It("says that it has ended only if nobody listens there", func(ctx SpecContext) {
+	It("reports a refused connection if no process listens on the address", func(ctx SpecContext) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address = listener.Addr().String()
@@ -40,14 +40,14 @@
 		Expect(probe(ctx, httpconn.Open)).To(Equal(httpconn.Ended))
 	})
 
-	It("says nothing if there was no answer in time", func() {
+	It("reports no state if there is no response in time", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		Expect(probe(ctx, httpconn.Open)).To(Equal(httpconn.Silent))
 	})
 
-	It("says nothing if it must not be made", func(ctx SpecContext) {
-		barred := func(httpconn.Target) error { return errors.New("barred") }
-		Expect(probe(ctx, barred)).To(Equal(httpconn.Silent))
+	It("reports no state if the gate blocks it", func(ctx SpecContext) {
+		blocked := func(httpconn.Target) error { return errors.New("blocked") }
+		Expect(probe(ctx, blocked)).To(Equal(httpconn.Silent))
 	})
 })
--- a/pkg/httpconn/quiet.go
+++ b/pkg/httpconn/quiet.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// quiet tells whether a kept connection is still open and has nothing to read: what
-// comes while no call is under way belongs to no request.
-func quiet(c net.Conn) bool {
+// reusable reports whether an idle connection is open and has no unread data. Data that arrives
+// between calls belongs to no call.
+func reusable(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -16,12 +16,12 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	reusable := false
 	err = control.Read(func(fd uintptr) bool {
 		var one [1]byte
 		n, readErr := syscall.Read(int(fd), one[:])
-		silent = n < 0 && (readErr == syscall.EAGAIN || readErr == syscall.EWOULDBLOCK)
+		reusable = n < 0 && (readErr == syscall.EAGAIN || readErr == syscall.EWOULDBLOCK)
 		return true
 	})
-	return err == nil && silent
+	return err == nil && reusable
 }
