--- a/pkg/httpconn/probe.go
+++ b/pkg/httpconn/probe.go
@@ -6,22 +6,22 @@
 	"syscall"
 )
 
-// Sign is the result of a probe.
-type Sign string
+// ProbeResult is the result of a probe.
+type ProbeResult string
 
 // The results of a probe.
 const (
 	// Lives: the endpoint accepts connections.
-	Lives Sign = "lives"
+	Lives ProbeResult = "lives"
 	// Ended: the connection was refused; no process listens on the address.
-	Ended Sign = "ended"
+	Ended ProbeResult = "ended"
 	// Silent: the state is unknown; the endpoint or the network may have failed.
-	Silent Sign = "silent"
+	Silent ProbeResult = "silent"
 )
 
 // Probe checks whether an endpoint accepts connections. The failure of a call does not show this,
 // because the endpoint may have failed only that call.
-func (p *Pool) Probe(ctx context.Context, target Target) Sign {
+func (p *Pool) Probe(ctx context.Context, target Target) ProbeResult {
 	err := p.Reach(ctx, target)
 	switch {
 	case err == nil:
--- a/pkg/httpconn/probe_test.go
+++ b/pkg/httpconn/probe_test.go
@@ -22,7 +22,7 @@
 		address = s.Addr().String()
 	})
 
-	probe := func(ctx context.Context, gate httpconn.Gate) httpconn.Sign {
+	probe := func(ctx context.Context, gate httpconn.Gate) httpconn.ProbeResult {
 		pool := httpconn.NewPool(clockwork.NewRealClock(), metrics.NewSet(), httpconn.Gates{Connect: gate, Spend: httpconn.Open, Send: httpconn.Open}, httpconn.Deaf)
 		DeferCleanup(pool.Close)
 		return pool.Probe(ctx, httpconn.Target{ID: "endpoint", Address: address})
