--- a/pkg/httpconn/probe.go
+++ b/pkg/httpconn/probe.go
@@ -11,8 +11,8 @@
 
 // The results of a probe.
 const (
-	// Lives: the endpoint accepts connections.
-	Lives ProbeResult = "lives"
+	// Alive: the endpoint accepts connections.
+	Alive ProbeResult = "lives"
 	// Ended: the connection was refused; no process listens on the address.
 	Ended ProbeResult = "ended"
 	// Silent: the state is unknown; the endpoint or the network may have failed.
@@ -25,7 +25,7 @@
 	err := p.Reach(ctx, target)
 	switch {
 	case err == nil:
-		return Lives
+		return Alive
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return Ended
 	}
--- a/pkg/httpconn/probe_test.go
+++ b/pkg/httpconn/probe_test.go
@@ -29,7 +29,7 @@
 	}
 
 	It("reports an endpoint as alive if it accepts a connection, even if its responses are incomplete", func(ctx SpecContext) {
-		Expect(probe(ctx, httpconn.Open)).To(Equal(httpconn.Lives))
+		Expect(probe(ctx, httpconn.Open)).To(Equal(httpconn.Alive))
 	})
 
 	It("reports a refused connection if no process listens on the address", func(ctx SpecContext) {
