--- a/pkg/gateway/crash.go
+++ b/pkg/gateway/crash.go
@@ -74,7 +74,7 @@
 	ctx, cancel := context.WithTimeout(ctx, crashProbeTimeout)
 	defer cancel()
 	state := u.Conns.Probe(ctx, u.target(call))
-	if state == httpconn.Ended && u.expectedUp(call.Endpoint) {
+	if state == httpconn.NotListening && u.expectedUp(call.Endpoint) {
 		u.Quarantine.RecordCrash(u.digest, call.Endpoint.ID)
 	}
 	u.Log.WithFields(logrus.Fields{
--- a/pkg/httpconn/probe.go
+++ b/pkg/httpconn/probe.go
@@ -13,8 +13,8 @@
 const (
 	// Alive: the endpoint accepts connections.
 	Alive ProbeResult = "lives"
-	// Ended: the connection was refused; no process listens on the address.
-	Ended ProbeResult = "ended"
+	// NotListening: the connection was refused; no process listens on the address.
+	NotListening ProbeResult = "ended"
 	// Silent: the state is unknown; the endpoint or the network may have failed.
 	Silent ProbeResult = "silent"
 )
@@ -27,7 +27,7 @@
 	case err == nil:
 		return Alive
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Ended
+		return NotListening
 	}
 	return Silent
 }
--- a/pkg/httpconn/probe_test.go
+++ b/pkg/httpconn/probe_test.go
@@ -37,7 +37,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		address = listener.Addr().String()
 		Expect(listener.Close()).To(Succeed())
-		Expect(probe(ctx, httpconn.Open)).To(Equal(httpconn.Ended))
+		Expect(probe(ctx, httpconn.Open)).To(Equal(httpconn.NotListening))
 	})
 
 	It("reports no state if there is no response in time", func() {
