--- a/pkg/httpconn/probe.go
+++ b/pkg/httpconn/probe.go
@@ -15,8 +15,8 @@
 	Alive ProbeResult = "lives"
 	// NotListening: the connection was refused; no process listens on the address.
 	NotListening ProbeResult = "ended"
-	// Silent: the state is unknown; the endpoint or the network may have failed.
-	Silent ProbeResult = "silent"
+	// NoResponse: the state is unknown; the endpoint or the network may have failed.
+	NoResponse ProbeResult = "silent"
 )
 
 // Probe checks whether an endpoint accepts connections. The failure of a call does not show this,
@@ -29,5 +29,5 @@
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return NotListening
 	}
-	return Silent
+	return NoResponse
 }
--- a/pkg/httpconn/probe_test.go
+++ b/pkg/httpconn/probe_test.go
@@ -43,11 +43,11 @@
 	It("reports no state if there is no response in time", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		Expect(probe(ctx, httpconn.Open)).To(Equal(httpconn.Silent))
+		Expect(probe(ctx, httpconn.Open)).To(Equal(httpconn.NoResponse))
 	})
 
 	It("reports no state if the gate blocks it", func(ctx SpecContext) {
 		blocked := func(httpconn.Target) error { return errors.New("blocked") }
-		Expect(probe(ctx, blocked)).To(Equal(httpconn.Silent))
+		Expect(probe(ctx, blocked)).To(Equal(httpconn.NoResponse))
 	})
 })
