--- a/pkg/httpconn/exchange.go
+++ b/pkg/httpconn/exchange.go
@@ -67,18 +67,18 @@
 	return errors.As(err, &e)
 }
 
-// BarredError is returned if a gate blocked a call or a connection.
-type BarredError struct{ Cause error }
+// BlockedError is returned if a gate blocked a call or a connection.
+type BlockedError struct{ Cause error }
 
 // Error implements error.
-func (e *BarredError) Error() string { return e.Cause.Error() }
+func (e *BlockedError) Error() string { return e.Cause.Error() }
 
 // Unwrap returns the cause.
-func (e *BarredError) Unwrap() error { return e.Cause }
+func (e *BlockedError) Unwrap() error { return e.Cause }
 
 // Barred reports whether err is a BarredError. It does not indicate a fault of the endpoint.
 func Barred(err error) bool {
-	var e *BarredError
+	var e *BlockedError
 	return errors.As(err, &e)
 }
 
--- a/pkg/httpconn/pool.go
+++ b/pkg/httpconn/pool.go
@@ -110,7 +110,7 @@
 func (p *Pool) check(check Gate, target Target) error {
 	if err := check(target); err != nil {
 		p.blocked.Inc()
-		return notSent(&BarredError{err})
+		return notSent(&BlockedError{err})
 	}
 	return nil
 }
