--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -250,7 +250,7 @@
 	outcome := connBrokenResult(ctx)
 	result := balance.Failed
 	switch {
-	case httpconn.Barred(err):
+	case httpconn.IsBlocked(err):
 		outcome, result = resultBarred, balance.Canceled
 	case httpconn.NotSent(err):
 		outcome, result = resultUnreachable, balance.Unreachable
--- a/pkg/httpconn/exchange.go
+++ b/pkg/httpconn/exchange.go
@@ -76,8 +76,8 @@
 // Unwrap returns the cause.
 func (e *BlockedError) Unwrap() error { return e.Cause }
 
-// Barred reports whether err is a BarredError. It does not indicate a fault of the endpoint.
-func Barred(err error) bool {
+// IsBlocked reports whether err is a BarredError. It does not indicate a fault of the endpoint.
+func IsBlocked(err error) bool {
 	var e *BlockedError
 	return errors.As(err, &e)
 }
--- a/pkg/httpconn/httpconn_test.go
+++ b/pkg/httpconn/httpconn_test.go
@@ -137,7 +137,7 @@
 		DeferCleanup(pool.Close)
 		_, err := do(call(s, "1"))
 		Expect(httpconn.NotSent(err)).To(BeTrue())
-		Expect(httpconn.Barred(err)).To(BeTrue())
+		Expect(httpconn.IsBlocked(err)).To(BeTrue())
 		Expect(do(call(s, "2"))).To(Equal("for 2"))
 		Expect(s.conns.Load()).To(BeEquivalentTo(1))
 	})
@@ -158,7 +158,7 @@
 		Expect(do(call(s, "2"))).To(Equal("for 2"))
 		_, err := do(call(s, "3"))
 		Expect(httpconn.NotSent(err)).To(BeTrue())
-		Expect(httpconn.Barred(err)).To(BeTrue())
+		Expect(httpconn.IsBlocked(err)).To(BeTrue())
 		Expect(checks).To(Equal(3))
 		left = 1
 		Expect(do(call(s, "4"))).To(Equal("for 4"))
