--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -280,7 +280,7 @@
 }
 
 // handleResponse handles a response whose header has been received.
-func (u *run) handleResponse(ctx context.Context, call *balance.Call, answer *httpconn.Answer, verdict Verdict) attemptResult {
+func (u *run) handleResponse(ctx context.Context, call *balance.Call, answer *httpconn.Response, verdict Verdict) attemptResult {
 	switch {
 	case verdict.WrongEndpoint:
 		call.End(balance.Unreachable, nil)
@@ -310,7 +310,7 @@
 }
 
 // relayBuffered reads the complete response and forwards it.
-func (u *run) relayBuffered(ctx context.Context, call *balance.Call, answer *httpconn.Answer, verdict Verdict) attemptResult {
+func (u *run) relayBuffered(ctx context.Context, call *balance.Call, answer *httpconn.Response, verdict Verdict) attemptResult {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedResponse+1))
 	// The body counts as held until the client has read it.
 	u.Held.Reserve(int64(len(body)))
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -17,7 +17,7 @@
 )
 
 // relayStream forwards the events of a stream as they become complete.
-func (u *run) relayStream(ctx context.Context, call *balance.Call, answer *httpconn.Answer) attemptResult {
+func (u *run) relayStream(ctx context.Context, call *balance.Call, answer *httpconn.Response) attemptResult {
 	events := &eventReader{body: answer.Body}
 	for {
 		data, err := events.next()
@@ -45,7 +45,7 @@
 
 // forwardEvents sends complete events to the client and reports whether the client is still
 // connected.
-func (u *run) forwardEvents(answer *httpconn.Answer, data []byte, lastID string) bool {
+func (u *run) forwardEvents(answer *httpconn.Response, data []byte, lastID string) bool {
 	if !u.streamBegun {
 		u.streamBegun = true
 		u.mayHaveRun = true
--- a/pkg/httpconn/exchange.go
+++ b/pkg/httpconn/exchange.go
@@ -43,8 +43,8 @@
 	MaxRest time.Duration
 }
 
-// Answer is the response of an endpoint. The caller must close its body.
-type Answer struct {
+// Response is the response of an endpoint. The caller must close its body.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
@@ -85,7 +85,7 @@
 // Do sends a call and returns the response once its header has been read. If it fails and the error
 // is not a NotSentError, the endpoint may have processed the call. The connection is closed when
 // ctx is done.
-func (p *Pool) Do(ctx context.Context, call Call) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, call Call) (*Response, error) {
 	for _, check := range []Gate{p.gates.Connect, p.gates.Send} {
 		if err := p.check(check, call.Target); err != nil {
 			return nil, err
@@ -115,7 +115,7 @@
 		return nil, problem.Wrap(err, problem.Unknown, "the call may have run; retry it only if it is idempotent", "endpoint %s did not respond", call.Target.ID)
 	}
 	x.response = response
-	return &Answer{Status: response.StatusCode, Header: response.Header, Body: x}, nil
+	return &Response{Status: response.StatusCode, Header: response.Header, Body: x}, nil
 }
 
 // exchange is a call in progress. It implements io.ReadCloser for the response body.
