--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -230,7 +230,7 @@
 		Body:     u.request.Body,
 		ID:       u.request.ID,
 		IDHeader: u.Dialect.IDHeader(),
-		MaxRest:  u.maxIdle(),
+		MaxIdle:  u.maxIdle(),
 	})
 	if err != nil {
 		outcome := u.sendFailed(ctx, call, begin, err)
--- a/pkg/httpconn/exchange.go
+++ b/pkg/httpconn/exchange.go
@@ -38,9 +38,9 @@
 	// belongs to another call and is skipped. If ID is empty, any response is accepted.
 	ID       string
 	IDHeader string
-	// MaxRest is the longest idle time of a reused connection. If negative, a new connection is
+	// MaxIdle is the longest idle time of a reused connection. If negative, a new connection is
 	// opened.
-	MaxRest time.Duration
+	MaxIdle time.Duration
 }
 
 // Response is the response of an endpoint. The caller must close its body.
@@ -91,7 +91,7 @@
 			return nil, err
 		}
 	}
-	c, err := p.acquire(ctx, call.Target, call.MaxRest)
+	c, err := p.acquire(ctx, call.Target, call.MaxIdle)
 	if err != nil {
 		return nil, err
 	}
@@ -245,7 +245,7 @@
 	if !x.complete {
 		x.complete = x.emptyBody()
 	}
-	if !x.stopWatch() || !x.complete || x.response.Close || !x.requestSent() || x.call.MaxRest < 0 {
+	if !x.stopWatch() || !x.complete || x.response.Close || !x.requestSent() || x.call.MaxIdle < 0 {
 		x.pool.discard(x.conn)
 		return nil
 	}
--- a/pkg/httpconn/httpconn_test.go
+++ b/pkg/httpconn/httpconn_test.go
@@ -95,7 +95,7 @@
 		return httpconn.Call{
 			Target: httpconn.Target{ID: "e", Address: s.Addr().String()},
 			Method: http.MethodGet, URI: "/x", Host: "h", Header: http.Header{"X-Id": {id}},
-			ID: id, IDHeader: "X-Id", MaxRest: time.Second,
+			ID: id, IDHeader: "X-Id", MaxIdle: time.Second,
 		}
 	}
 
@@ -217,7 +217,7 @@
 		Expect(do(call(s, "a"))).To(Equal("for a"))
 		Expect(s.conns.Load()).To(Equal(int32(2)), "it was idle for longer than the call allows")
 		fresh := call(s, "b")
-		fresh.MaxRest = -1
+		fresh.MaxIdle = -1
 		Expect(do(fresh)).To(Equal("for b"))
 		Expect(s.conns.Load()).To(Equal(int32(3)))
 	})
