--- a/pkg/httpconn/pool.go
+++ b/pkg/httpconn/pool.go
@@ -52,9 +52,9 @@
 	Spend Gate
 }
 
-// Heard is called with the status and header of each response, including responses to other calls
+// ResponseObserver is called with the status and header of each response, including responses to other calls
 // on the same connection. The URI is that of the current call.
-type Heard func(target Target, uri string, status int, h http.Header)
+type ResponseObserver func(target Target, uri string, status int, h http.Header)
 
 // Open is a Gate that always allows.
 func Open(Target) error { return nil }
@@ -67,7 +67,7 @@
 	clock       clockwork.Clock
 	dialTimeout time.Duration
 	gates       Gates
-	observe     Heard
+	observe     ResponseObserver
 	dialed      *metrics.Counter
 	reused      *metrics.Counter
 	blocked     *metrics.Counter
@@ -93,7 +93,7 @@
 }
 
 // NewPool returns an empty pool that registers its counters in set.
-func NewPool(clock clockwork.Clock, set *metrics.Set, gates Gates, observe Heard) *Pool {
+func NewPool(clock clockwork.Clock, set *metrics.Set, gates Gates, observe ResponseObserver) *Pool {
 	return &Pool{
 		clock:       clock,
 		dialTimeout: DefaultDialTimeout,
