--- a/pkg/httpconn/pool.go
+++ b/pkg/httpconn/pool.go
@@ -56,8 +56,8 @@
 // on the same connection. The URI is that of the current call.
 type ResponseObserver func(target Target, uri string, status int, h http.Header)
 
-// Open is a Gate that always allows.
-func Open(Target) error { return nil }
+// AllowAll is a Gate that always allows.
+func AllowAll(Target) error { return nil }
 
 // Deaf is an observer that ignores all responses.
 func Deaf(Target, string, int, http.Header) {}
--- a/pkg/httpconn/probe_test.go
+++ b/pkg/httpconn/probe_test.go
@@ -23,13 +23,13 @@
 	})
 
 	probe := func(ctx context.Context, gate httpconn.Gate) httpconn.ProbeResult {
-		pool := httpconn.NewPool(clockwork.NewRealClock(), metrics.NewSet(), httpconn.Gates{Connect: gate, Spend: httpconn.Open, Send: httpconn.Open}, httpconn.Deaf)
+		pool := httpconn.NewPool(clockwork.NewRealClock(), metrics.NewSet(), httpconn.Gates{Connect: gate, Spend: httpconn.AllowAll, Send: httpconn.AllowAll}, httpconn.Deaf)
 		DeferCleanup(pool.Close)
 		return pool.Probe(ctx, httpconn.Target{ID: "endpoint", Address: address})
 	}
 
 	It("reports an endpoint as alive if it accepts a connection, even if its responses are incomplete", func(ctx SpecContext) {
-		Expect(probe(ctx, httpconn.Open)).To(Equal(httpconn.Alive))
+		Expect(probe(ctx, httpconn.AllowAll)).To(Equal(httpconn.Alive))
 	})
 
 	It("reports a refused connection if no process listens on the address", func(ctx SpecContext) {
@@ -37,13 +37,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		address = listener.Addr().String()
 		Expect(listener.Close()).To(Succeed())
-		Expect(probe(ctx, httpconn.Open)).To(Equal(httpconn.NotListening))
+		Expect(probe(ctx, httpconn.AllowAll)).To(Equal(httpconn.NotListening))
 	})
 
 	It("reports no state if there is no response in time", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		Expect(probe(ctx, httpconn.Open)).To(Equal(httpconn.NoResponse))
+		Expect(probe(ctx, httpconn.AllowAll)).To(Equal(httpconn.NoResponse))
 	})
 
 	It("reports no state if the gate blocks it", func(ctx SpecContext) {
