--- a/pkg/httpconn/httpconn_test.go
+++ b/pkg/httpconn/httpconn_test.go
@@ -87,7 +87,7 @@
 
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
-		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Spend: httpconn.AllowAll, Send: httpconn.AllowAll}, httpconn.Deaf)
+		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Spend: httpconn.AllowAll, Send: httpconn.AllowAll}, httpconn.IgnoreResponses)
 		DeferCleanup(pool.Close)
 	})
 
@@ -116,7 +116,7 @@
 	It("does not send calls to an endpoint that allows only connections", func() {
 		s := serve(echo)
 		errBlocked := errors.New("blocked")
-		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Spend: httpconn.AllowAll, Send: func(httpconn.Target) error { return errBlocked }}, httpconn.Deaf)
+		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Spend: httpconn.AllowAll, Send: func(httpconn.Target) error { return errBlocked }}, httpconn.IgnoreResponses)
 		DeferCleanup(pool.Close)
 		_, err := do(call(s, "1"))
 		Expect(err).To(MatchError(errBlocked))
@@ -133,7 +133,7 @@
 				return errors.New("blocked in the meantime")
 			}
 			return nil
-		}}, httpconn.Deaf)
+		}}, httpconn.IgnoreResponses)
 		DeferCleanup(pool.Close)
 		_, err := do(call(s, "1"))
 		Expect(httpconn.NotSent(err)).To(BeTrue())
@@ -152,7 +152,7 @@
 			}
 			left--
 			return nil
-		}}, httpconn.Deaf)
+		}}, httpconn.IgnoreResponses)
 		DeferCleanup(pool.Close)
 		Expect(do(call(s, "1"))).To(Equal("for 1"))
 		Expect(do(call(s, "2"))).To(Equal("for 2"))
@@ -187,7 +187,7 @@
 				return errBlocked
 			}
 			return nil
-		}}, httpconn.Deaf)
+		}}, httpconn.IgnoreResponses)
 		DeferCleanup(pool.Close)
 		c := call(s, "1")
 		c.Target.FailureDomain = "a"
--- a/pkg/httpconn/pool.go
+++ b/pkg/httpconn/pool.go
@@ -59,8 +59,8 @@
 // AllowAll is a Gate that always allows.
 func AllowAll(Target) error { return nil }
 
-// Deaf is an observer that ignores all responses.
-func Deaf(Target, string, int, http.Header) {}
+// IgnoreResponses is an observer that ignores all responses.
+func IgnoreResponses(Target, string, int, http.Header) {}
 
 // Pool is a pool of connections to endpoints. It is safe for concurrent use.
 type Pool struct {
