--- a/pkg/httpconn/httpconn_test.go
+++ b/pkg/httpconn/httpconn_test.go
@@ -122,7 +122,7 @@
 		Expect(err).To(MatchError(errBlocked))
 		Expect(httpconn.NotSent(err)).To(BeTrue())
 		Expect(s.conns.Load()).To(BeZero())
-		Expect(pool.Reach(context.Background(), call(s, "1").Target)).To(Succeed())
+		Expect(pool.CheckConnect(context.Background(), call(s, "1").Target)).To(Succeed())
 	})
 
 	It("checks the Send gate again before sending, and keeps the connection if it is blocked", func() {
@@ -194,7 +194,7 @@
 		_, err := do(c)
 		Expect(err).To(MatchError(errBlocked))
 		Expect(httpconn.NotSent(err)).To(BeTrue())
-		Expect(httpconn.NotSent(pool.Reach(context.Background(), c.Target))).To(BeTrue())
+		Expect(httpconn.NotSent(pool.CheckConnect(context.Background(), c.Target))).To(BeTrue())
 		Expect(s.conns.Load()).To(BeZero())
 		By("not over an idle connection either")
 		blocked = false
--- a/pkg/httpconn/pool.go
+++ b/pkg/httpconn/pool.go
@@ -173,8 +173,8 @@
 	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBufferSize), target: target.ID}, nil
 }
 
-// Reach opens a connection to an endpoint and closes it again.
-func (p *Pool) Reach(ctx context.Context, target Target) error {
+// CheckConnect opens a connection to an endpoint and closes it again.
+func (p *Pool) CheckConnect(ctx context.Context, target Target) error {
 	if err := p.check(p.gates.Connect, target); err != nil {
 		return err
 	}
--- a/pkg/httpconn/probe.go
+++ b/pkg/httpconn/probe.go
@@ -22,7 +22,7 @@
 // Probe checks whether an endpoint accepts connections. The failure of a call does not show this,
 // because the endpoint may have failed only that call.
 func (p *Pool) Probe(ctx context.Context, target Target) ProbeResult {
-	err := p.Reach(ctx, target)
+	err := p.CheckConnect(ctx, target)
 	switch {
 	case err == nil:
 		return Alive
