--- a/cmd/cobaltcroftd/gateway/gateway.go
+++ b/cmd/cobaltcroftd/gateway/gateway.go
@@ -225,7 +225,7 @@
 	g.permits = throttle.NewLimiter(g.rateLimits, permitPeers, g.domainOf, g.clock, g.logs.For("throttle"))
 	g.backoffs = notice.NewBackoffs(g.clock, g.permits, g.logs.For("notice"))
 	g.metrics.NewGauge("cobaltcroft_endpoints_limited", func() float64 { return float64(g.rateLimits.Count()) })
-	g.conns = httpconn.NewPool(g.clock, g.metrics, httpconn.Gates{Connect: g.checkRouting, Send: g.checkBackoff, Spend: g.takePermit}, g.observeResponse)
+	g.conns = httpconn.NewPool(g.clock, g.metrics, httpconn.Gates{Connect: g.checkRouting, Send: g.checkBackoff, Permit: g.takePermit}, g.observeResponse)
 	g.balancer = balance.New(g.clock, g.backoffs)
 	g.budget = retry.NewBudget(g.clock, budgetBounds(s), g.instances)
 	g.pieceBudget = retry.NewBudget(g.clock, budgetBounds(s), g.instances)
--- a/pkg/httpconn/exchange.go
+++ b/pkg/httpconn/exchange.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, check := range []Gate{p.gates.Send, p.gates.Spend} {
+	for _, check := range []Gate{p.gates.Send, p.gates.Permit} {
 		if err := p.check(check, call.Target); err != nil {
 			// The endpoint may have been blocked, or its limit used up by other calls, while this
 			// call waited for a connection.
--- a/pkg/httpconn/httpconn_test.go
+++ b/pkg/httpconn/httpconn_test.go
@@ -87,7 +87,7 @@
 
 	BeforeEach(func() {
 		clock = clockwork.NewFakeClock()
-		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Spend: httpconn.AllowAll, Send: httpconn.AllowAll}, httpconn.IgnoreResponses)
+		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Permit: httpconn.AllowAll, Send: httpconn.AllowAll}, httpconn.IgnoreResponses)
 		DeferCleanup(pool.Close)
 	})
 
@@ -116,7 +116,7 @@
 	It("does not send calls to an endpoint that allows only connections", func() {
 		s := serve(echo)
 		errBlocked := errors.New("blocked")
-		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Spend: httpconn.AllowAll, Send: func(httpconn.Target) error { return errBlocked }}, httpconn.IgnoreResponses)
+		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Permit: httpconn.AllowAll, Send: func(httpconn.Target) error { return errBlocked }}, httpconn.IgnoreResponses)
 		DeferCleanup(pool.Close)
 		_, err := do(call(s, "1"))
 		Expect(err).To(MatchError(errBlocked))
@@ -128,7 +128,7 @@
 	It("checks the Send gate again before sending, and keeps the connection if it is blocked", func() {
 		s := serve(echo)
 		checks := 0
-		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Spend: httpconn.AllowAll, Send: func(httpconn.Target) error {
+		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Permit: httpconn.AllowAll, Send: func(httpconn.Target) error {
 			if checks++; checks == 2 {
 				return errors.New("blocked in the meantime")
 			}
@@ -145,7 +145,7 @@
 	It("checks the Spend gate once for each call and does not send a blocked call", func() {
 		s := serve(echo)
 		left, checks := 2, 0
-		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Send: httpconn.AllowAll, Spend: func(httpconn.Target) error {
+		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Send: httpconn.AllowAll, Permit: func(httpconn.Target) error {
 			checks++
 			if left == 0 {
 				return errors.New("limit reached")
@@ -170,7 +170,7 @@
 			return plain("another", "x") + plain(r.Header.Get("X-Id"), "y"), true
 		})
 		var observed []string
-		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Spend: httpconn.AllowAll, Send: httpconn.AllowAll}, func(target httpconn.Target, _ string, status int, h http.Header) {
+		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Permit: httpconn.AllowAll, Send: httpconn.AllowAll}, func(target httpconn.Target, _ string, status int, h http.Header) {
 			observed = append(observed, fmt.Sprint(target.ID, " ", status, " ", h.Get("X-Id")))
 		})
 		DeferCleanup(pool.Close)
@@ -182,7 +182,7 @@
 		s := serve(echo)
 		errBlocked := errors.New("blocked")
 		blocked := true
-		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Send: httpconn.AllowAll, Spend: httpconn.AllowAll, Connect: func(target httpconn.Target) error {
+		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Send: httpconn.AllowAll, Permit: httpconn.AllowAll, Connect: func(target httpconn.Target) error {
 			if blocked && target.FailureDomain == "a" {
 				return errBlocked
 			}
--- a/pkg/httpconn/pool.go
+++ b/pkg/httpconn/pool.go
@@ -47,9 +47,9 @@
 	// connection puts no load on the endpoint.
 	Connect Gate
 	Send    Gate
-	// Spend is checked exactly once for each call, right before it is sent. It may consume a
+	// Permit is checked exactly once for each call, right before it is sent. It may consume a
 	// permit.
-	Spend Gate
+	Permit Gate
 }
 
 // ResponseObserver is called with the status and header of each response, including responses to other calls
--- a/pkg/httpconn/probe_test.go
+++ b/pkg/httpconn/probe_test.go
@@ -23,7 +23,7 @@
 	})
 
 	probe := func(ctx context.Context, gate httpconn.Gate) httpconn.ProbeResult {
-		pool := httpconn.NewPool(clockwork.NewRealClock(), metrics.NewSet(), httpconn.Gates{Connect: gate, Spend: httpconn.AllowAll, Send: httpconn.AllowAll}, httpconn.IgnoreResponses)
+		pool := httpconn.NewPool(clockwork.NewRealClock(), metrics.NewSet(), httpconn.Gates{Connect: gate, Permit: httpconn.AllowAll, Send: httpconn.AllowAll}, httpconn.IgnoreResponses)
 		DeferCleanup(pool.Close)
 		return pool.Probe(ctx, httpconn.Target{ID: "endpoint", Address: address})
 	}
