--- a/pkg/httpconn/exchange.go
+++ b/pkg/httpconn/exchange.go
@@ -76,7 +76,7 @@
 // Unwrap returns the cause.
 func (e *BlockedError) Unwrap() error { return e.Cause }
 
-// IsBlocked reports whether err is a BarredError. It does not indicate a fault of the endpoint.
+// IsBlocked reports whether err is a BlockedError. It does not indicate a fault of the endpoint.
 func IsBlocked(err error) bool {
 	var e *BlockedError
 	return errors.As(err, &e)
--- a/pkg/httpconn/httpconn_test.go
+++ b/pkg/httpconn/httpconn_test.go
@@ -142,7 +142,7 @@
 		Expect(s.conns.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("checks the Spend gate once for each call and does not send a blocked call", func() {
+	It("checks the Permit gate once for each call and does not send a blocked call", func() {
 		s := serve(echo)
 		left, checks := 2, 0
 		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Send: httpconn.AllowAll, Permit: func(httpconn.Target) error {
