--- a/pkg/endpoint/endpoint.go
+++ b/pkg/endpoint/endpoint.go
@@ -1,5 +1,5 @@
-// Package endpoint defines how the system calls endpoints: model engines, stage
-// pools and plain services. Adapters for their protocols are in sub-packages.
+// Package endpoint defines the interface for calling endpoints: model engines, stage pools and
+// plain services. Its subpackages implement it for specific protocols.
 package endpoint
 
 import (
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// Attempt identifies one try of one stage of one request. The endpoint echoes all
-// three, and an answer that differs in any of them is not this attempt's.
+// Attempt identifies one attempt of a stage of a request. The endpoint echoes all three fields; a
+// response in which any of them differs belongs to another attempt.
 type Attempt struct {
 	Request string
 	Stage   string
 	ID      string
 }
 
-// Call is the work given to an endpoint.
+// Call is a request to an endpoint.
 type Call struct {
 	Attempt      Attempt
 	Organisation string
-	// Rank is the request's priority; higher goes first.
+	// Rank is the priority of the request; higher ranks are served first.
 	Rank    uint32
 	Model   string
 	Adapter string
@@ -29,80 +29,77 @@
 	// Input is a JSON value.
 	Input    json.RawMessage
 	Deadline time.Time
-	// PromptCacheKey names a prompt prefix that many calls share; may be empty.
+	// PromptCacheKey identifies a prompt prefix that many calls share. Optional.
 	PromptCacheKey string
 }
 
-// Load is what an endpoint reports of itself with an answer. It may be old.
+// Load is the load that an endpoint reports with a response. It may be outdated.
 type Load struct {
 	Running  int
 	Waiting  int
 	Draining bool
 }
 
-// Answer is a whole and right answer to an attempt.
+// Answer is a complete and valid response to an attempt.
 type Answer struct {
 	// Output is a JSON value.
 	Output json.RawMessage
-	// Load is nil if the endpoint reported none.
+	// Load is nil if the endpoint did not report it.
 	Load *Load
 }
 
-// Token is one piece of generated text. Index counts from 0 without gaps.
+// Token is a piece of generated text. Indices are consecutive and start at 0.
 type Token struct {
 	Index int    `json:"index"`
 	Text  string `json:"text"`
 }
 
-// Caller calls endpoints. Each error is an *Error.
+// Caller calls endpoints. All errors are of type *Error.
 type Caller interface {
-	// Call makes one call and returns its whole answer.
+	// Call makes a unary call.
 	Call(ctx context.Context, address string, c Call) (Answer, error)
-	// Generate makes one streamed call. The tokens in prior have been received
-	// before; the stream goes on behind them, and each further token is given to
-	// sink in order. An error of sink ends the stream with effect Stopped.
+	// Generate makes a streaming call that continues after the tokens in prior. It passes each new
+	// token to sink in order. If sink returns an error, the stream ends with the effect Stopped.
 	Generate(ctx context.Context, address string, c Call, prior []Token, sink func(Token) error) (Answer, error)
-	// Cancel asks the endpoint to stop an attempt. Nil says that the attempt has
-	// ended there and will not run again.
+	// Cancel requests the cancellation of an attempt. A nil error means that the attempt has ended
+	// on the endpoint and will not run again.
 	Cancel(ctx context.Context, address string, a Attempt) error
 }
 
-// Effect says what a failed call did.
+// Effect is the known effect of a failed call.
 type Effect int
 
-// The effects.
 const (
-	// NotSent: no byte reached the endpoint.
+	// NotSent: no data reached the endpoint.
 	NotSent Effect = iota
-	// Refused: the endpoint says that it did not run the call.
+	// Refused: the endpoint reported that it did not run the call.
 	Refused
-	// Failed: the endpoint says that it ran the call and that it failed.
+	// Failed: the endpoint reported that it ran the call and that the call failed.
 	Failed
-	// Doubtful: the call may have run, may be running, or may yet run.
+	// Doubtful: the call may have run, may be running or may still run.
 	Doubtful
 	// Stopped: the sink ended the stream.
 	Stopped
 )
 
-// Error says why a call failed and what it did.
+// Error describes a failed call and its effect.
 type Error struct {
 	Effect Effect
-	// Draining is set with Refused if the endpoint is leaving, Lacking if it does
-	// not hold the model.
+	// Draining and Lacking qualify Refused: the endpoint is draining, or does not have the model.
 	Draining bool
 	Lacking  bool
-	// Status is the HTTP status or its like; 0 if none came.
+	// Status is the HTTP status; 0 if there was no response.
 	Status int
-	// Foreign is set if an answer came that was not this attempt's.
+	// Foreign is set if the response belongs to another attempt.
 	Foreign bool
 	Address string
 	Attempt Attempt
-	// Load is nil if the endpoint reported none.
+	// Load is nil if the endpoint did not report it.
 	Load  *Load
 	Cause error
 }
 
-// Error names the effect, the endpoint and the cause.
+// Error implements error.
 func (e *Error) Error() string {
 	return fmt.Sprintf("call of stage %s at %s %s: %v", e.Attempt.Stage, e.Address, e.Effect, e.Cause)
 }
@@ -110,7 +107,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// String describes the effect.
+// String implements fmt.Stringer.
 func (e Effect) String() string {
 	switch e {
 	case NotSent:
--- a/pkg/endpoint/openinference/client.go
+++ b/pkg/endpoint/openinference/client.go
@@ -19,53 +19,52 @@
 )
 
 const (
-	// defaultModel is the model's name in the path where the stage names none.
-	defaultModel = "default"
-	// maxIdlePerEndpoint bounds the idle connections kept for one endpoint.
+	// defaultModel is used if the stage names no model.
+	defaultModel       = "default"
 	maxIdlePerEndpoint = 64
 	dialTimeout        = 300 * time.Millisecond
 	maxErrorBody       = 4 << 10
 )
 
-// Client is an endpoint.Caller. Safe for concurrent use.
+// Client implements endpoint.Caller. It is safe for concurrent use.
 type Client struct {
-	http      *http.Client
-	maxAnswer int64
+	http        *http.Client
+	maxResponse int64
 }
 
 var _ endpoint.Caller = (*Client)(nil)
 
-// New returns a client that reads at most maxAnswer bytes of an answer.
-func New(maxAnswer int64) *Client {
-	// No request carries an Idempotency-Key, and so net/http never sends one again
-	// after a byte of it may have been read.
+// New returns a client that reads at most maxResponse bytes of a response.
+func New(maxResponse int64) *Client {
+	// Requests carry no Idempotency-Key, so net/http does not retry one that the endpoint may have
+	// read.
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: maxIdlePerEndpoint,
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		IdleConnTimeout:     30 * time.Second,
 		DisableCompression:  true,
 	}
-	return &Client{http: &http.Client{Transport: transport}, maxAnswer: maxAnswer}
+	return &Client{http: &http.Client{Transport: transport}, maxResponse: maxResponse}
 }
 
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// attemptCall carries what each step of one call needs.
+// attemptCall is the state of one call.
 type attemptCall struct {
 	address string
 	call    endpoint.Call
 	load    *endpoint.Load
 }
 
-func (a *attemptCall) fail(effect endpoint.Effect, cause error) *endpoint.Error {
+func (a *attemptCall) newError(effect endpoint.Effect, cause error) *endpoint.Error {
 	return &endpoint.Error{Effect: effect, Address: a.address, Attempt: a.call.Attempt, Load: a.load, Cause: cause}
 }
 
-// foreign is the error for an answer that belongs to something else. This
-// attempt's own fate is not known.
-func (a *attemptCall) foreign(id, request, stage string) *endpoint.Error {
-	e := a.fail(endpoint.Doubtful, errors.Newf("the answer is of request %q stage %q attempt %q", request, stage, id))
+// mismatch returns the error for a response to another attempt. The outcome of this attempt is
+// unknown.
+func (a *attemptCall) mismatch(id, request, stage string) *endpoint.Error {
+	e := a.newError(endpoint.Doubtful, errors.Newf("received a response to request %q, stage %q, attempt %q", request, stage, id))
 	e.Foreign = true
 	return e
 }
@@ -82,7 +81,7 @@
 	}
 }
 
-func (a *attemptCall) path(verb string) string {
+func (a *attemptCall) path(operation string) string {
 	model := a.call.Model
 	if model == "" {
 		model = defaultModel
@@ -91,10 +90,10 @@
 	if a.call.Version != "" {
 		path += "/versions/" + url.PathEscape(a.call.Version)
 	}
-	return path + "/" + verb
+	return path + "/" + operation
 }
 
-// matches tells whether an answer is this attempt's.
+// matches reports whether a response belongs to this attempt.
 func (a *attemptCall) matches(id string, p Parameters) bool {
 	return id == a.call.Attempt.ID && p.RequestID == a.call.Attempt.Request && p.Stage == a.call.Attempt.Stage
 }
@@ -108,55 +107,55 @@
 		return endpoint.Answer{}, err
 	}
 	defer resp.Body.Close()
-	data, readErr := io.ReadAll(io.LimitReader(resp.Body, c.maxAnswer+1))
+	data, readErr := io.ReadAll(io.LimitReader(resp.Body, c.maxResponse+1))
 	if readErr != nil {
-		return endpoint.Answer{}, a.fail(endpoint.Doubtful, errors.Wrap(readErr, "the answer broke off"))
+		return endpoint.Answer{}, a.newError(endpoint.Doubtful, errors.Wrap(readErr, "the response is incomplete"))
 	}
-	if int64(len(data)) > c.maxAnswer {
-		return endpoint.Answer{}, a.fail(endpoint.Failed, errors.Newf("the answer is longer than %d bytes", c.maxAnswer))
+	if int64(len(data)) > c.maxResponse {
+		return endpoint.Answer{}, a.newError(endpoint.Failed, errors.Newf("the response exceeds %d bytes", c.maxResponse))
 	}
-	return a.whole(data)
+	return a.decode(data)
 }
 
-// whole checks that data is one whole answer, and this attempt's.
-func (a *attemptCall) whole(data []byte) (endpoint.Answer, error) {
+// decode decodes a response and checks that it belongs to this attempt.
+func (a *attemptCall) decode(data []byte) (endpoint.Answer, error) {
 	var resp InferResponse
 	if err := json.Unmarshal(data, &resp); err != nil {
-		return endpoint.Answer{}, a.fail(endpoint.Doubtful, errors.Wrap(err, "the answer does not parse"))
+		return endpoint.Answer{}, a.newError(endpoint.Doubtful, errors.Wrap(err, "cannot decode the response"))
 	}
 	if !a.matches(resp.ID, resp.Parameters) {
-		return endpoint.Answer{}, a.foreign(resp.ID, resp.Parameters.RequestID, resp.Parameters.Stage)
+		return endpoint.Answer{}, a.mismatch(resp.ID, resp.Parameters.RequestID, resp.Parameters.Stage)
 	}
 	if len(resp.Outputs) != 1 || len(resp.Outputs[0].Data) != 1 || !json.Valid([]byte(resp.Outputs[0].Data[0])) {
-		return endpoint.Answer{}, a.fail(endpoint.Failed, errors.New("the answer has not one output of one JSON text"))
+		return endpoint.Answer{}, a.newError(endpoint.Failed, errors.New("the response does not consist of a single JSON output"))
 	}
 	return endpoint.Answer{Output: json.RawMessage(resp.Outputs[0].Data[0]), Load: a.load}, nil
 }
 
-// send posts a call and returns the response if its status is 200.
+// send posts a call. It returns an error if the response status is not 200.
 func (c *Client) send(ctx context.Context, a *attemptCall, path string, body any) (*http.Response, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return nil, a.fail(endpoint.NotSent, err)
+		return nil, a.newError(endpoint.NotSent, err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.address+path, bytes.NewReader(data))
 	if err != nil {
-		return nil, a.fail(endpoint.NotSent, err)
+		return nil, a.newError(endpoint.NotSent, err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, a.fail(effectOf(err), err)
+		return nil, a.newError(effectOf(err), err)
 	}
 	a.load = decodeLoad(resp.Header.Get(HeaderLoad))
 	if resp.StatusCode == http.StatusOK {
 		return resp, nil
 	}
 	defer resp.Body.Close()
-	return nil, c.refused(a, resp)
+	return nil, c.errorResponse(a, resp)
 }
 
-// effectOf tells a connection that was never made from one that broke.
+// effectOf distinguishes a failed dial from a broken connection.
 func effectOf(err error) endpoint.Effect {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -165,19 +164,19 @@
 	return endpoint.Doubtful
 }
 
-// refused reads an error status.
-func (c *Client) refused(a *attemptCall, resp *http.Response) error {
-	if why := resp.Header.Get(HeaderNotRun); resp.StatusCode == http.StatusServiceUnavailable && why != "" {
-		e := a.fail(endpoint.Refused, errors.Newf("not run: %s", why))
-		e.Draining = why == NotRunDraining
-		e.Lacking = why == NotRunLacking
+// errorResponse converts an error status to an error.
+func (c *Client) errorResponse(a *attemptCall, resp *http.Response) error {
+	if reason := resp.Header.Get(HeaderNotRun); resp.StatusCode == http.StatusServiceUnavailable && reason != "" {
+		e := a.newError(endpoint.Refused, errors.Newf("not run: %s", reason))
+		e.Draining = reason == NotRunDraining
+		e.Lacking = reason == NotRunLacking
 		return e
 	}
 	var body ErrorResponse
 	err := json.NewDecoder(io.LimitReader(resp.Body, maxErrorBody)).Decode(&body)
-	e := a.fail(endpoint.Doubtful, errors.Newf("status %d without this attempt's id", resp.StatusCode))
+	e := a.newError(endpoint.Doubtful, errors.Newf("status %d without the ID of this attempt", resp.StatusCode))
 	if err == nil && body.ID == a.call.Attempt.ID {
-		e = a.fail(endpoint.Failed, errors.Newf("status %d: %s", resp.StatusCode, body.Error))
+		e = a.newError(endpoint.Failed, errors.Newf("status %d: %s", resp.StatusCode, body.Error))
 	}
 	e.Status = resp.StatusCode
 	return e
@@ -210,10 +209,10 @@
 	}
 	defer resp.Body.Close()
 	s := &stream{attemptCall: a, tokens: slices.Clone(prior), sink: sink}
-	return s.read(io.LimitReader(resp.Body, c.maxAnswer))
+	return s.read(io.LimitReader(resp.Body, c.maxResponse))
 }
 
-// stream reads the events of one generated answer.
+// stream decodes the events of a streamed response.
 type stream struct {
 	*attemptCall
 	tokens []endpoint.Token
@@ -228,31 +227,31 @@
 		if !ok {
 			continue
 		}
-		finished, err := s.event([]byte(data))
+		finished, err := s.handleEvent([]byte(data))
 		if err != nil {
 			return endpoint.Answer{}, err
 		}
 		if finished {
-			return s.answer(), nil
+			return s.response(), nil
 		}
 	}
-	return endpoint.Answer{}, s.fail(endpoint.Doubtful, errors.Newf("the stream broke off before its last event: %v", lines.Err()))
+	return endpoint.Answer{}, s.newError(endpoint.Doubtful, errors.Newf("the stream ended before its last event: %v", lines.Err()))
 }
 
-// event takes in one event, and tells whether it was the last.
-func (s *stream) event(data []byte) (finished bool, err error) {
+// handleEvent processes an event and reports whether it was the last one.
+func (s *stream) handleEvent(data []byte) (finished bool, err error) {
 	var e GenerateResponse
 	if err := json.Unmarshal(data, &e); err != nil {
-		return false, s.fail(endpoint.Doubtful, errors.Wrap(err, "an event of the stream does not parse"))
+		return false, s.newError(endpoint.Doubtful, errors.Wrap(err, "cannot decode a stream event"))
 	}
 	if !s.matches(e.ID, e.Parameters) {
-		return false, s.foreign(e.ID, e.Parameters.RequestID, e.Parameters.Stage)
+		return false, s.mismatch(e.ID, e.Parameters.RequestID, e.Parameters.Stage)
 	}
 	if e.Error != "" {
-		return false, s.fail(endpoint.Failed, errors.New(e.Error))
+		return false, s.newError(endpoint.Failed, errors.New(e.Error))
 	}
 	if e.Parameters.Index != len(s.tokens) {
-		return false, s.fail(endpoint.Doubtful, errors.Newf("the stream went to token %d, not %d", e.Parameters.Index, len(s.tokens)))
+		return false, s.newError(endpoint.Doubtful, errors.Newf("received token %d of the stream, expected %d", e.Parameters.Index, len(s.tokens)))
 	}
 	if e.Parameters.Finished {
 		return true, nil
@@ -260,13 +259,13 @@
 	token := endpoint.Token{Index: len(s.tokens), Text: e.TextOutput}
 	s.tokens = append(s.tokens, token)
 	if err := s.sink(token); err != nil {
-		return false, s.fail(endpoint.Stopped, err)
+		return false, s.newError(endpoint.Stopped, err)
 	}
 	return false, nil
 }
 
-// answer is the whole text, as a JSON string.
-func (s *stream) answer() endpoint.Answer {
+// response returns the complete text as a JSON string.
+func (s *stream) response() endpoint.Answer {
 	var text strings.Builder
 	for _, token := range s.tokens {
 		text.WriteString(token.Text)
--- a/pkg/endpoint/openinference/messages.go
+++ b/pkg/endpoint/openinference/messages.go
@@ -1,22 +1,20 @@
-// Package openinference calls endpoints over the Open Inference Protocol (KServe's
-// V2 protocol) with its generate extension for streams. The protocol's id carries
-// the attempt, its parameters the request and the stage; endpoints echo them.
-// Load comes back in the ORCA response header "endpoint-load-metrics".
+// Package openinference calls endpoints over the Open Inference Protocol (KServe V2) with its
+// generate extension for streams. The protocol's id is the attempt ID; the request and the stage
+// are parameters. Endpoints echo all three. Load is reported in the ORCA response header
+// endpoint-load-metrics.
 package openinference
 
 import (
 	"encoding/json"
 )
 
-// The headers beside the protocol.
+// Additional headers.
 const (
-	// HeaderNotRun on a 503 says that the endpoint did not run the call, and why:
-	// NotRunBusy, NotRunDraining or NotRunLacking. Without it a 503 leaves the effect in doubt.
+	// HeaderNotRun, on a 503, means that the endpoint did not run the call. Its value is the
+	// reason. A 503 without it leaves the effect unknown.
 	HeaderNotRun = "X-Not-Run"
-	// HeaderLoad carries the load report (Open Request Cost Aggregation, in its
-	// JSON form).
+	// HeaderLoad is an ORCA (Open Request Cost Aggregation) load report in JSON format.
 	HeaderLoad = "endpoint-load-metrics"
-	// loadPrefix precedes the JSON of a load report.
 	loadPrefix = "JSON "
 )
 
@@ -24,29 +22,29 @@
 const (
 	NotRunBusy     = "busy"
 	NotRunDraining = "draining"
-	// NotRunLacking: it does not hold the model.
+	// NotRunLacking: the endpoint does not have the model.
 	NotRunLacking = "model"
 )
 
-// Parameters travel with each message.
+// Parameters are the parameters of requests and responses.
 type Parameters struct {
 	RequestID    string `json:"request_id,omitempty"`
 	Stage        string `json:"stage,omitempty"`
 	Organisation string `json:"organisation,omitempty"`
 	Priority     uint32 `json:"priority,omitempty"`
-	// DeadlineMs is the time left when the message was sent, in milliseconds.
+	// DeadlineMs is the time to the deadline when the message was sent, in milliseconds.
 	DeadlineMs     int64  `json:"deadline_ms,omitempty"`
 	Adapter        string `json:"adapter,omitempty"`
 	PromptCacheKey string `json:"prompt_cache_key,omitempty"`
-	// Prior are the tokens generated before; a stream goes on behind them.
+	// Prior holds the tokens generated earlier, after which the stream continues.
 	Prior []string `json:"prior,omitempty"`
-	// Index is the place of a token in the stream, from 0.
+	// Index is the position of a token in the stream, from 0.
 	Index int `json:"index"`
-	// Finished is set on the last message of a stream, which has no token.
+	// Finished marks the last message of a stream, which has no token.
 	Finished bool `json:"finished,omitempty"`
 }
 
-// Tensor is an input or output; here always one JSON text of datatype BYTES.
+// Tensor is an input or output: always a single JSON text of datatype BYTES.
 type Tensor struct {
 	Name     string   `json:"name"`
 	Shape    []int    `json:"shape"`
@@ -54,14 +52,14 @@
 	Data     []string `json:"data"`
 }
 
-// InferRequest asks for one inference.
+// InferRequest is an inference request.
 type InferRequest struct {
 	ID         string     `json:"id"`
 	Parameters Parameters `json:"parameters"`
 	Inputs     []Tensor   `json:"inputs"`
 }
 
-// InferResponse answers it.
+// InferResponse is the response to an InferRequest.
 type InferResponse struct {
 	ModelName  string     `json:"model_name"`
 	ID         string     `json:"id"`
@@ -69,53 +67,53 @@
 	Outputs    []Tensor   `json:"outputs"`
 }
 
-// GenerateRequest asks for a stream of tokens.
+// GenerateRequest requests a stream of tokens.
 type GenerateRequest struct {
 	ID         string     `json:"id"`
 	TextInput  string     `json:"text_input"`
 	Parameters Parameters `json:"parameters"`
 }
 
-// GenerateResponse is one event of the stream.
+// GenerateResponse is an event of the stream.
 type GenerateResponse struct {
 	ID         string     `json:"id"`
 	ModelName  string     `json:"model_name"`
 	TextOutput string     `json:"text_output"`
 	Parameters Parameters `json:"parameters"`
-	// Error ends the stream: the call ran and failed.
+	// Error ends the stream and means that the call failed.
 	Error string `json:"error,omitempty"`
 }
 
-// ErrorResponse is the body of an error status. An id that matches the attempt says
-// that the call ran and failed.
+// ErrorResponse is the body of an error status. If the ID matches the attempt, the call ran and
+// failed.
 type ErrorResponse struct {
 	ID    string `json:"id,omitempty"`
 	Error string `json:"error"`
 }
 
-// CancelRequest stops an attempt.
+// CancelRequest cancels an attempt.
 type CancelRequest struct {
 	ID string `json:"id"`
 }
 
-// LoadMetrics is the part of an ORCA load report that is read.
+// LoadMetrics is the supported subset of an ORCA load report.
 type LoadMetrics struct {
 	NamedMetrics NamedMetrics `json:"named_metrics"`
 }
 
-// NamedMetrics are the site's own metrics in the load report.
+// NamedMetrics holds the custom metrics of a load report.
 type NamedMetrics struct {
 	Running  float64 `json:"running"`
 	Waiting  float64 `json:"waiting"`
 	Draining float64 `json:"draining"`
 }
 
-// TensorOf returns the tensor of one JSON value.
+// TensorOf returns a tensor with a JSON value.
 func TensorOf(name string, value json.RawMessage) Tensor {
 	return Tensor{Name: name, Shape: []int{1}, Datatype: "BYTES", Data: []string{string(value)}}
 }
 
-// EncodeLoad returns the value of HeaderLoad.
+// EncodeLoad encodes the value of HeaderLoad.
 func EncodeLoad(running, waiting int, draining bool) string {
 	m := LoadMetrics{NamedMetrics: NamedMetrics{Running: float64(running), Waiting: float64(waiting)}}
 	if draining {
--- a/pkg/endpoint/openinference/repository.go
+++ b/pkg/endpoint/openinference/repository.go
@@ -12,10 +12,9 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
-// stateReady is the state of a model that can be called.
-const stateReady = "READY"
+const modelReady = "READY"
 
-// ModelStatus is one entry of the model repository extension's index.
+// ModelStatus is an entry of the model repository index.
 type ModelStatus struct {
 	Name       string          `json:"name"`
 	Version    string          `json:"version,omitempty"`
@@ -23,22 +22,22 @@
 	Parameters ModelParameters `json:"parameters"`
 }
 
-// ModelParameters travel with orders and the index.
+// ModelParameters are the parameters of load and unload requests and of the index.
 type ModelParameters struct {
 	Adapter string `json:"adapter,omitempty"`
 	Version string `json:"version,omitempty"`
-	// FencingToken comes with orders alone.
+	// FencingToken is set only in load and unload requests.
 	FencingToken int64 `json:"fencing_token,omitempty"`
 }
 
-// ModelOrder is the body of a load or unload.
+// ModelOrder is the body of a load or unload request.
 type ModelOrder struct {
 	Parameters ModelParameters `json:"parameters"`
 }
 
 var _ placement.Engine = (*Client)(nil)
 
-// Models implements placement.Engine over the model repository extension.
+// Models implements placement.Engine with the model repository extension.
 func (c *Client) Models(ctx context.Context, address string) ([]placement.Model, error) {
 	resp, err := c.send(ctx, &attemptCall{address: address}, "/v2/repository/index", struct{}{})
 	if err != nil {
@@ -46,38 +45,38 @@
 	}
 	defer resp.Body.Close()
 	var index []ModelStatus
-	if err := json.NewDecoder(io.LimitReader(resp.Body, c.maxAnswer)).Decode(&index); err != nil {
-		return nil, problem.Wrap(err, problem.Unavailable, "check the endpoint", "the model index of %s does not parse", address)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, c.maxResponse)).Decode(&index); err != nil {
+		return nil, problem.Wrap(err, problem.Unavailable, "check the endpoint", "cannot decode the model index of %s", address)
 	}
 	var models []placement.Model
 	for _, status := range index {
-		if status.State == stateReady {
+		if status.State == modelReady {
 			models = append(models, placement.Model{Name: status.Name, Adapter: status.Parameters.Adapter, Version: status.Version})
 		}
 	}
 	return models, nil
 }
 
-// Order implements placement.Engine over the model repository extension; the token
-// is a parameter of the order.
+// Order implements placement.Engine with the model repository extension. The fencing token is sent
+// as a parameter.
 func (c *Client) Order(ctx context.Context, address string, token int64, order placement.Order) error {
-	verb := "/unload"
+	operation := "/unload"
 	if order.Load {
-		verb = "/load"
+		operation = "/load"
 	}
-	path := "/v2/repository/models/" + url.PathEscape(order.Model.Name) + verb
+	path := "/v2/repository/models/" + url.PathEscape(order.Model.Name) + operation
 	body := ModelOrder{Parameters: ModelParameters{Adapter: order.Model.Adapter, Version: order.Model.Version, FencingToken: token}}
 	resp, err := c.send(ctx, &attemptCall{address: address}, path, body)
 	if err == nil {
 		return resp.Body.Close()
 	}
 	if statusOf(err) == http.StatusConflict {
-		return problem.Wrap(err, problem.Conflict, "the newer holder goes on", "endpoint %s has seen a newer token than %d", order.Endpoint, token)
+		return problem.Wrap(err, problem.Conflict, "the instance with the newer token takes over", "endpoint %s has received a newer fencing token than %d", order.Endpoint, token)
 	}
-	return problem.Wrap(err, problem.Unavailable, "the order is given again", "endpoint %s did not take the order", order.Endpoint)
+	return problem.Wrap(err, problem.Unavailable, "the request will be retried", "endpoint %s did not accept the load or unload request", order.Endpoint)
 }
 
-// statusOf returns the HTTP status behind a failed call; 0 if there was none.
+// statusOf returns the HTTP status of a failed call, or 0 if there was no response.
 func statusOf(err error) int {
 	e, ok := err.(*endpoint.Error)
 	if !ok {
--- a/pkg/endpoint/openinference/stream_test.go
+++ b/pkg/endpoint/openinference/stream_test.go
@@ -9,7 +9,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/endpoint"
 )
 
-// streamOf returns a whole stream of n tokens for an attempt.
+// streamOf encodes a complete stream of n tokens.
 func streamOf(a endpoint.Attempt, n int) []byte {
 	var b bytes.Buffer
 	for i := range n + 1 {
@@ -28,8 +28,7 @@
 	return s.read(bytes.NewReader(body))
 }
 
-// BenchmarkToken measures reading one token of a stream and checking that it is the
-// attempt's and the next.
+// BenchmarkToken measures reading and validating one token of a stream.
 func BenchmarkToken(b *testing.B) {
 	const tokens = 1000
 	a := endpoint.Attempt{Request: "8e506090-22fa-49c9", Stage: "generate", ID: "2f1c7a52-0b1e-4a77"}
@@ -52,7 +51,7 @@
 		next := 0
 		answer, err := read(body, a, func(token endpoint.Token) error {
 			if token.Index != next {
-				t.Fatalf("token %d came, not %d", token.Index, next)
+				t.Fatalf("received token %d, expected %d", token.Index, next)
 			}
 			next++
 			return nil
