--- a/pkg/endpoint/endpoint.go
+++ b/pkg/endpoint/endpoint.go
@@ -76,8 +76,8 @@
 	Refused
 	// Failed: the endpoint reported that it ran the call and that the call failed.
 	Failed
-	// Doubtful: the call may have run, may be running or may still run.
-	Doubtful
+	// Indeterminate: the call may have run, may be running or may still run.
+	Indeterminate
 	// Stopped: the sink ended the stream.
 	Stopped
 )
--- a/pkg/endpoint/openinference/client.go
+++ b/pkg/endpoint/openinference/client.go
@@ -64,7 +64,7 @@
 // mismatch returns the error for a response to another attempt. The outcome of this attempt is
 // unknown.
 func (a *attemptCall) mismatch(id, request, stage string) *endpoint.Error {
-	e := a.newError(endpoint.Doubtful, errors.Newf("received a response to request %q, stage %q, attempt %q", request, stage, id))
+	e := a.newError(endpoint.Indeterminate, errors.Newf("received a response to request %q, stage %q, attempt %q", request, stage, id))
 	e.Foreign = true
 	return e
 }
@@ -109,7 +109,7 @@
 	defer resp.Body.Close()
 	data, readErr := io.ReadAll(io.LimitReader(resp.Body, c.maxResponse+1))
 	if readErr != nil {
-		return endpoint.Answer{}, a.newError(endpoint.Doubtful, errors.Wrap(readErr, "the response is incomplete"))
+		return endpoint.Answer{}, a.newError(endpoint.Indeterminate, errors.Wrap(readErr, "the response is incomplete"))
 	}
 	if int64(len(data)) > c.maxResponse {
 		return endpoint.Answer{}, a.newError(endpoint.Failed, errors.Newf("the response exceeds %d bytes", c.maxResponse))
@@ -121,7 +121,7 @@
 func (a *attemptCall) decode(data []byte) (endpoint.Answer, error) {
 	var resp InferResponse
 	if err := json.Unmarshal(data, &resp); err != nil {
-		return endpoint.Answer{}, a.newError(endpoint.Doubtful, errors.Wrap(err, "cannot decode the response"))
+		return endpoint.Answer{}, a.newError(endpoint.Indeterminate, errors.Wrap(err, "cannot decode the response"))
 	}
 	if !a.matches(resp.ID, resp.Parameters) {
 		return endpoint.Answer{}, a.mismatch(resp.ID, resp.Parameters.RequestID, resp.Parameters.Stage)
@@ -161,7 +161,7 @@
 	if errors.As(err, &op) && op.Op == "dial" {
 		return endpoint.NotSent
 	}
-	return endpoint.Doubtful
+	return endpoint.Indeterminate
 }
 
 // errorResponse converts an error status to an error.
@@ -174,7 +174,7 @@
 	}
 	var body ErrorResponse
 	err := json.NewDecoder(io.LimitReader(resp.Body, maxErrorBody)).Decode(&body)
-	e := a.newError(endpoint.Doubtful, errors.Newf("status %d without the ID of this attempt", resp.StatusCode))
+	e := a.newError(endpoint.Indeterminate, errors.Newf("status %d without the ID of this attempt", resp.StatusCode))
 	if err == nil && body.ID == a.call.Attempt.ID {
 		e = a.newError(endpoint.Failed, errors.Newf("status %d: %s", resp.StatusCode, body.Error))
 	}
@@ -235,14 +235,14 @@
 			return s.response(), nil
 		}
 	}
-	return endpoint.Answer{}, s.newError(endpoint.Doubtful, errors.Newf("the stream ended before its last event: %v", lines.Err()))
+	return endpoint.Answer{}, s.newError(endpoint.Indeterminate, errors.Newf("the stream ended before its last event: %v", lines.Err()))
 }
 
 // handleEvent processes an event and reports whether it was the last one.
 func (s *stream) handleEvent(data []byte) (finished bool, err error) {
 	var e GenerateResponse
 	if err := json.Unmarshal(data, &e); err != nil {
-		return false, s.newError(endpoint.Doubtful, errors.Wrap(err, "cannot decode a stream event"))
+		return false, s.newError(endpoint.Indeterminate, errors.Wrap(err, "cannot decode a stream event"))
 	}
 	if !s.matches(e.ID, e.Parameters) {
 		return false, s.mismatch(e.ID, e.Parameters.RequestID, e.Parameters.Stage)
@@ -251,7 +251,7 @@
 		return false, s.newError(endpoint.Failed, errors.New(e.Error))
 	}
 	if e.Parameters.Index != len(s.tokens) {
-		return false, s.newError(endpoint.Doubtful, errors.Newf("received token %d of the stream, expected %d", e.Parameters.Index, len(s.tokens)))
+		return false, s.newError(endpoint.Indeterminate, errors.Newf("received token %d of the stream, expected %d", e.Parameters.Index, len(s.tokens)))
 	}
 	if e.Parameters.Finished {
 		return true, nil
--- a/pkg/traffic/stage.go
+++ b/pkg/traffic/stage.go
@@ -214,7 +214,7 @@
 	}
 	var e *endpoint.Error
 	if !errors.As(err, &e) {
-		e = &endpoint.Error{Effect: endpoint.Doubtful, Cause: err}
+		e = &endpoint.Error{Effect: endpoint.Indeterminate, Cause: err}
 	}
 	s.settleEffect(grant, attempt, e)
 	if s.pool.Finish(now, grant, resultOf(ctx, e), reportOf(e.Load)) {
