--- a/pkg/endpoint/endpoint.go
+++ b/pkg/endpoint/endpoint.go
@@ -86,8 +86,8 @@
 type Error struct {
 	Effect Effect
 	// Draining and Lacking qualify Refused: the endpoint is draining, or does not have the model.
-	Draining bool
-	Lacking  bool
+	Draining     bool
+	ModelMissing bool
 	// Status is the HTTP status; 0 if there was no response.
 	Status int
 	// Foreign is set if the response belongs to another attempt.
--- a/pkg/traffic/stage.go
+++ b/pkg/traffic/stage.go
@@ -268,7 +268,7 @@
 		return scheduling.Unreachable
 	case e.Effect == endpoint.Refused && e.Draining:
 		return scheduling.Draining
-	case e.Effect == endpoint.Refused && e.Lacking:
+	case e.Effect == endpoint.Refused && e.ModelMissing:
 		return scheduling.ModelMissing
 	case e.Effect == endpoint.Refused:
 		return scheduling.Busy
