--- a/pkg/endpoint/endpoint.go
+++ b/pkg/endpoint/endpoint.go
@@ -90,10 +90,10 @@
 	ModelMissing bool
 	// Status is the HTTP status; 0 if there was no response.
 	Status int
-	// Foreign is set if the response belongs to another attempt.
-	Foreign bool
-	Address string
-	Attempt Attempt
+	// Mismatched is set if the response belongs to another attempt.
+	Mismatched bool
+	Address    string
+	Attempt    Attempt
 	// Load is nil if the endpoint did not report it.
 	Load  *Load
 	Cause error
--- a/pkg/endpoint/openinference/client.go
+++ b/pkg/endpoint/openinference/client.go
@@ -65,7 +65,7 @@
 // unknown.
 func (a *attemptCall) mismatch(id, request, stage string) *endpoint.Error {
 	e := a.newError(endpoint.Indeterminate, errors.Newf("received a response to request %q, stage %q, attempt %q", request, stage, id))
-	e.Foreign = true
+	e.Mismatched = true
 	return e
 }
 
--- a/pkg/traffic/stage.go
+++ b/pkg/traffic/stage.go
@@ -225,7 +225,7 @@
 		s.Leaving(control.LeavingEndpoint{Name: grant.Endpoint.Name, Incarnation: grant.Endpoint.Incarnation}, "the endpoint")
 	}
 	kind := timeline.AttemptFailed
-	if e.Foreign {
+	if e.Mismatched {
 		kind = timeline.AnswerDropped
 		s.Metrics.droppedAnswers.Inc()
 	}
