--- a/pkg/endpoint/endpoint.go
+++ b/pkg/endpoint/endpoint.go
@@ -40,8 +40,8 @@
 	Draining bool
 }
 
-// Answer is a complete and valid response to an attempt.
-type Answer struct {
+// Response is a complete and valid response to an attempt.
+type Response struct {
 	// Output is a JSON value.
 	Output json.RawMessage
 	// Load is nil if the endpoint did not report it.
@@ -57,10 +57,10 @@
 // Caller calls endpoints. All errors are of type *Error.
 type Caller interface {
 	// Call makes a unary call.
-	Call(ctx context.Context, address string, c Call) (Answer, error)
+	Call(ctx context.Context, address string, c Call) (Response, error)
 	// Generate makes a streaming call that continues after the tokens in prior. It passes each new
 	// token to sink in order. If sink returns an error, the stream ends with the effect Stopped.
-	Generate(ctx context.Context, address string, c Call, prior []Token, sink func(Token) error) (Answer, error)
+	Generate(ctx context.Context, address string, c Call, prior []Token, sink func(Token) error) (Response, error)
 	// Cancel requests the cancellation of an attempt. A nil error means that the attempt has ended
 	// on the endpoint and will not run again.
 	Cancel(ctx context.Context, address string, a Attempt) error
--- a/pkg/endpoint/openinference/client.go
+++ b/pkg/endpoint/openinference/client.go
@@ -99,37 +99,37 @@
 }
 
 // Call implements endpoint.Caller.
-func (c *Client) Call(ctx context.Context, address string, call endpoint.Call) (endpoint.Answer, error) {
+func (c *Client) Call(ctx context.Context, address string, call endpoint.Call) (endpoint.Response, error) {
 	a := &attemptCall{address: address, call: call}
 	body := InferRequest{ID: call.Attempt.ID, Parameters: a.parameters(), Inputs: []Tensor{TensorOf("input", call.Input)}}
 	resp, err := c.send(ctx, a, a.path("infer"), body)
 	if err != nil {
-		return endpoint.Answer{}, err
+		return endpoint.Response{}, err
 	}
 	defer resp.Body.Close()
 	data, readErr := io.ReadAll(io.LimitReader(resp.Body, c.maxResponse+1))
 	if readErr != nil {
-		return endpoint.Answer{}, a.newError(endpoint.Indeterminate, errors.Wrap(readErr, "the response is incomplete"))
+		return endpoint.Response{}, a.newError(endpoint.Indeterminate, errors.Wrap(readErr, "the response is incomplete"))
 	}
 	if int64(len(data)) > c.maxResponse {
-		return endpoint.Answer{}, a.newError(endpoint.Failed, errors.Newf("the response exceeds %d bytes", c.maxResponse))
+		return endpoint.Response{}, a.newError(endpoint.Failed, errors.Newf("the response exceeds %d bytes", c.maxResponse))
 	}
 	return a.decode(data)
 }
 
 // decode decodes a response and checks that it belongs to this attempt.
-func (a *attemptCall) decode(data []byte) (endpoint.Answer, error) {
+func (a *attemptCall) decode(data []byte) (endpoint.Response, error) {
 	var resp InferResponse
 	if err := json.Unmarshal(data, &resp); err != nil {
-		return endpoint.Answer{}, a.newError(endpoint.Indeterminate, errors.Wrap(err, "cannot decode the response"))
+		return endpoint.Response{}, a.newError(endpoint.Indeterminate, errors.Wrap(err, "cannot decode the response"))
 	}
 	if !a.matches(resp.ID, resp.Parameters) {
-		return endpoint.Answer{}, a.mismatch(resp.ID, resp.Parameters.RequestID, resp.Parameters.Stage)
+		return endpoint.Response{}, a.mismatch(resp.ID, resp.Parameters.RequestID, resp.Parameters.Stage)
 	}
 	if len(resp.Outputs) != 1 || len(resp.Outputs[0].Data) != 1 || !json.Valid([]byte(resp.Outputs[0].Data[0])) {
-		return endpoint.Answer{}, a.newError(endpoint.Failed, errors.New("the response does not consist of a single JSON output"))
+		return endpoint.Response{}, a.newError(endpoint.Failed, errors.New("the response does not consist of a single JSON output"))
 	}
-	return endpoint.Answer{Output: json.RawMessage(resp.Outputs[0].Data[0]), Load: a.load}, nil
+	return endpoint.Response{Output: json.RawMessage(resp.Outputs[0].Data[0]), Load: a.load}, nil
 }
 
 // send posts a call. It returns an error if the response status is not 200.
@@ -196,7 +196,7 @@
 }
 
 // Generate implements endpoint.Caller.
-func (c *Client) Generate(ctx context.Context, address string, call endpoint.Call, prior []endpoint.Token, sink func(endpoint.Token) error) (endpoint.Answer, error) {
+func (c *Client) Generate(ctx context.Context, address string, call endpoint.Call, prior []endpoint.Token, sink func(endpoint.Token) error) (endpoint.Response, error) {
 	a := &attemptCall{address: address, call: call}
 	params := a.parameters()
 	for _, token := range prior {
@@ -205,7 +205,7 @@
 	body := GenerateRequest{ID: call.Attempt.ID, TextInput: string(call.Input), Parameters: params}
 	resp, err := c.send(ctx, a, a.path("generate_stream"), body)
 	if err != nil {
-		return endpoint.Answer{}, err
+		return endpoint.Response{}, err
 	}
 	defer resp.Body.Close()
 	s := &stream{attemptCall: a, tokens: slices.Clone(prior), sink: sink}
@@ -219,7 +219,7 @@
 	sink   func(endpoint.Token) error
 }
 
-func (s *stream) read(body io.Reader) (endpoint.Answer, error) {
+func (s *stream) read(body io.Reader) (endpoint.Response, error) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxErrorBody*16)
 	for lines.Scan() {
@@ -229,13 +229,13 @@
 		}
 		finished, err := s.handleEvent([]byte(data))
 		if err != nil {
-			return endpoint.Answer{}, err
+			return endpoint.Response{}, err
 		}
 		if finished {
 			return s.response(), nil
 		}
 	}
-	return endpoint.Answer{}, s.newError(endpoint.Indeterminate, errors.Newf("the stream ended before its last event: %v", lines.Err()))
+	return endpoint.Response{}, s.newError(endpoint.Indeterminate, errors.Newf("the stream ended before its last event: %v", lines.Err()))
 }
 
 // handleEvent processes an event and reports whether it was the last one.
@@ -265,13 +265,13 @@
 }
 
 // response returns the complete text as a JSON string.
-func (s *stream) response() endpoint.Answer {
+func (s *stream) response() endpoint.Response {
 	var text strings.Builder
 	for _, token := range s.tokens {
 		text.WriteString(token.Text)
 	}
 	output, _ := json.Marshal(text.String())
-	return endpoint.Answer{Output: output, Load: s.load}
+	return endpoint.Response{Output: output, Load: s.load}
 }
 
 // Cancel implements endpoint.Caller.
--- a/pkg/endpoint/openinference/stream_test.go
+++ b/pkg/endpoint/openinference/stream_test.go
@@ -23,7 +23,7 @@
 	return b.Bytes()
 }
 
-func read(body []byte, a endpoint.Attempt, sink func(endpoint.Token) error) (endpoint.Answer, error) {
+func read(body []byte, a endpoint.Attempt, sink func(endpoint.Token) error) (endpoint.Response, error) {
 	s := &stream{attemptCall: &attemptCall{call: endpoint.Call{Attempt: a}}, sink: sink}
 	return s.read(bytes.NewReader(body))
 }
--- a/pkg/traffic/generate.go
+++ b/pkg/traffic/generate.go
@@ -25,7 +25,7 @@
 // generate makes one attempt at a generation stage. It goes on behind the tokens
 // that earlier attempts brought. An attempt that stalls is broken off, so that the
 // stream can be resumed at another endpoint.
-func (s *stageRun) generate(ctx context.Context, grant *scheduling.Grant, call endpoint.Call) (endpoint.Answer, error) {
+func (s *stageRun) generate(ctx context.Context, grant *scheduling.Grant, call endpoint.Call) (endpoint.Response, error) {
 	if len(s.tokens) > 0 {
 		s.Metrics.resumes.Inc()
 		s.Ring.Add(timeline.Event{Kind: timeline.StreamResumed, Request: s.request.ID, Stage: s.stage.Name, Endpoint: grant.Endpoint.Name})
--- a/pkg/traffic/stage.go
+++ b/pkg/traffic/stage.go
@@ -44,7 +44,7 @@
 
 // attemptEnd is how an attempt ended: with an answer or with why there is none.
 type attemptEnd struct {
-	answer endpoint.Answer
+	answer endpoint.Response
 	grant  *scheduling.Grant
 	err    error
 }
@@ -185,7 +185,7 @@
 	return "other failure domain"
 }
 
-func (s *stageRun) send(ctx context.Context, grant *scheduling.Grant, attempt endpoint.Attempt) (endpoint.Answer, error) {
+func (s *stageRun) send(ctx context.Context, grant *scheduling.Grant, attempt endpoint.Attempt) (endpoint.Response, error) {
 	call := endpoint.Call{
 		Attempt:        attempt,
 		Organisation:   s.request.Organisation,
@@ -204,7 +204,7 @@
 }
 
 // settle tells the pool, the effects and the time line what an attempt did.
-func (s *stageRun) settle(ctx context.Context, grant *scheduling.Grant, attempt endpoint.Attempt, answer endpoint.Answer, err error) {
+func (s *stageRun) settle(ctx context.Context, grant *scheduling.Grant, attempt endpoint.Attempt, answer endpoint.Response, err error) {
 	now := s.Clock.Now()
 	if err == nil {
 		s.effects.ended(attempt.ID, true)
--- a/pkg/traffic/suite_test.go
+++ b/pkg/traffic/suite_test.go
@@ -76,14 +76,14 @@
 }
 
 // Call implements endpoint.Caller.
-func (c *heldCancels) Call(ctx context.Context, address string, call endpoint.Call) (endpoint.Answer, error) {
+func (c *heldCancels) Call(ctx context.Context, address string, call endpoint.Call) (endpoint.Response, error) {
 	ctx, stop := c.bound(ctx, call)
 	defer stop()
 	return c.Caller.Call(ctx, address, call)
 }
 
 // Generate implements endpoint.Caller.
-func (c *heldCancels) Generate(ctx context.Context, address string, call endpoint.Call, prior []endpoint.Token, sink func(endpoint.Token) error) (endpoint.Answer, error) {
+func (c *heldCancels) Generate(ctx context.Context, address string, call endpoint.Call, prior []endpoint.Token, sink func(endpoint.Token) error) (endpoint.Response, error) {
 	ctx, stop := c.bound(ctx, call)
 	defer stop()
 	return c.Caller.Generate(ctx, address, call, prior, sink)
