--- a/pkg/endpoint/openinference/client.go
+++ b/pkg/endpoint/openinference/client.go
@@ -169,7 +169,7 @@
 	if reason := resp.Header.Get(HeaderNotRun); resp.StatusCode == http.StatusServiceUnavailable && reason != "" {
 		e := a.newError(endpoint.Refused, errors.Newf("not run: %s", reason))
 		e.Draining = reason == NotRunDraining
-		e.ModelMissing = reason == NotRunLacking
+		e.ModelMissing = reason == NotRunModelMissing
 		return e
 	}
 	var body ErrorResponse
--- a/pkg/endpoint/openinference/messages.go
+++ b/pkg/endpoint/openinference/messages.go
@@ -22,8 +22,8 @@
 const (
 	NotRunBusy     = "busy"
 	NotRunDraining = "draining"
-	// NotRunLacking: the endpoint does not have the model.
-	NotRunLacking = "model"
+	// NotRunModelMissing: the endpoint does not have the model.
+	NotRunModelMissing = "model"
 )
 
 // Parameters are the parameters of requests and responses.
--- a/pkg/standin/models.go
+++ b/pkg/standin/models.go
@@ -70,7 +70,7 @@
 			return false
 		}
 	}
-	w.Header().Set(openinference.HeaderNotRun, openinference.NotRunLacking)
+	w.Header().Set(openinference.HeaderNotRun, openinference.NotRunModelMissing)
 	w.WriteHeader(http.StatusServiceUnavailable)
 	return true
 }
