--- a/pkg/endpoint/endpoint.go
+++ b/pkg/endpoint/endpoint.go
@@ -85,7 +85,7 @@
 // Error describes a failed call and its effect.
 type Error struct {
 	Effect Effect
-	// Draining and Lacking qualify Refused: the endpoint is draining, or does not have the model.
+	// Draining and ModelMissing qualify Refused: the endpoint is draining, or does not have the model.
 	Draining     bool
 	ModelMissing bool
 	// Status is the HTTP status; 0 if there was no response.
