--- a/service/callers/callers.go
+++ b/service/callers/callers.go
@@ -1,5 +1,5 @@
-// Package callers is the face towards callers: HTTP with JSON, and server-sent events
-// for streamed answers.
+// Package callers implements the HTTP API for callers: JSON over HTTP, with server-sent events for
+// streamed responses.
 package callers
 
 import (
@@ -26,9 +26,9 @@
 )
 
 const (
-	// maxRequestID bounds a request id, in bytes.
+	// maxRequestID is the maximum length of a request ID, in bytes.
 	maxRequestID = 128
-	// maxTicketBody bounds the body of a request for a ticket, in bytes.
+	// maxTicketBody is the maximum body size of a ticket request, in bytes.
 	maxTicketBody = 4 << 10
 )
 
@@ -37,20 +37,20 @@
 	Run(ctx context.Context, r request.Request, sink func(endpoint.Token) error) request.Result
 }
 
-// Options of the face.
+// Options configures a Face.
 type Options struct {
 	Runner Runner
 	Gate   *atmostonce.Gate
-	// Pipeline returns the pipeline of a name; nil if there is none.
+	// Pipeline returns the pipeline with the given name, or nil.
 	Pipeline func(name string) *config.Pipeline
-	// Ready tells whether this instance serves.
+	// Ready reports whether this instance can serve requests.
 	Ready func() bool
-	// MaxBody bounds a caller's body, in bytes.
+	// MaxBody is the maximum body size of a call, in bytes.
 	MaxBody int64
 	Log     *logrus.Entry
 }
 
-// Face answers callers.
+// Face is the HTTP handler for callers.
 type Face struct {
 	Options
 	router   *bunrouter.Router
@@ -58,117 +58,116 @@
 	stopping atomic.Bool
 }
 
-// New returns the face.
 func New(o Options) *Face {
-	f := &Face{Options: o, router: bunrouter.New()}
-	f.router.POST("/v1/pipelines/:pipeline", f.call)
-	f.router.POST("/v1/tickets", f.ticket)
-	f.router.GET("/ready", f.ready)
-	f.router.GET("/live", func(w http.ResponseWriter, _ bunrouter.Request) error {
+	h := &Face{Options: o, router: bunrouter.New()}
+	h.router.POST("/v1/pipelines/:pipeline", h.handleCall)
+	h.router.POST("/v1/tickets", h.handleTicket)
+	h.router.GET("/ready", h.handleReady)
+	h.router.GET("/live", func(w http.ResponseWriter, _ bunrouter.Request) error {
 		w.WriteHeader(http.StatusOK)
 		return nil
 	})
-	return f
+	return h
 }
 
 // ServeHTTP implements http.Handler.
-func (f *Face) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.router.ServeHTTP(w, r) }
+func (h *Face) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.router.ServeHTTP(w, r) }
 
-// Unready makes the balancer send new requests elsewhere.
-func (f *Face) Unready() { f.unready.Store(true) }
+// Unready fails the readiness check, so that load balancers send new requests to other instances.
+func (h *Face) Unready() { h.unready.Store(true) }
 
-// Stopping makes the face refuse new requests, while those in flight go on.
-func (f *Face) Stopping() { f.stopping.Store(true) }
+// Stopping rejects new requests. Requests in flight continue.
+func (h *Face) Stopping() { h.stopping.Store(true) }
 
-func (f *Face) ready(w http.ResponseWriter, _ bunrouter.Request) error {
+func (h *Face) handleReady(w http.ResponseWriter, _ bunrouter.Request) error {
 	status := http.StatusOK
-	if f.unready.Load() || !f.Ready() {
+	if h.unready.Load() || !h.Ready() {
 		status = http.StatusServiceUnavailable
 	}
 	w.WriteHeader(status)
 	return nil
 }
 
-func (f *Face) ticket(w http.ResponseWriter, r bunrouter.Request) error {
+func (h *Face) handleTicket(w http.ResponseWriter, r bunrouter.Request) error {
 	body := api.TicketRequest{}
-	if err := decode(w, r.Request, maxTicketBody, &body); err != nil {
-		return respond(w, request.Refuse("", err))
+	if err := decodeJSON(w, r.Request, maxTicketBody, &body); err != nil {
+		return writeResult(w, request.Refuse("", err))
 	}
-	if f.stopping.Load() {
-		return respond(w, request.Refuse(body.RequestID, errStopping()))
+	if h.stopping.Load() {
+		return writeResult(w, request.Refuse(body.RequestID, errStopping()))
 	}
 	if body.Organisation == "" || body.RequestID == "" || len(body.RequestID) > maxRequestID {
-		return respond(w, request.Refuse(body.RequestID, problem.New(problem.Invalid, "give organisation and request_id, of at most 128 characters", "a ticket needs both")))
+		return writeResult(w, request.Refuse(body.RequestID, problem.New(problem.Invalid, "set organisation, and request_id of at most 128 characters", "organisation or request_id is missing or invalid")))
 	}
-	ticket := f.Gate.IssueTicket(atmostonce.Key{Organisation: body.Organisation, ID: body.RequestID})
+	ticket := h.Gate.IssueTicket(atmostonce.Key{Organisation: body.Organisation, ID: body.RequestID})
 	return writeJSON(w, http.StatusOK, api.Ticket{RequestID: body.RequestID, Ticket: ticket, ExpiresInMs: atmostonce.TicketLife.Milliseconds()})
 }
 
-func (f *Face) call(w http.ResponseWriter, r bunrouter.Request) error {
+func (h *Face) handleCall(w http.ResponseWriter, r bunrouter.Request) error {
 	now := time.Now()
 	var call api.Call
-	if err := decode(w, r.Request, f.MaxBody, &call); err != nil {
-		return respond(w, request.Refuse("", err))
+	if err := decodeJSON(w, r.Request, h.MaxBody, &call); err != nil {
+		return writeResult(w, request.Refuse("", err))
 	}
-	// The server's read timeout is for the body, which is here; an answer may take
+	// The server's read timeout applies to the body, which has been read; the response may take
 	// longer.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
-	req, err := f.accept(call, r.Param("pipeline"), now)
+	req, err := h.validate(call, r.Param("pipeline"), now)
 	if err != nil {
-		return respond(w, refuse(call, err))
+		return writeResult(w, refusedResult(call, err))
 	}
 	if call.Stream {
-		return f.stream(w, r, req)
+		return h.handleStream(w, r, req)
 	}
-	return respond(w, f.run(r.Context(), req, nil))
+	return writeResult(w, h.run(r.Context(), req, nil))
 }
 
-// refuse answers a call that is not taken in. If it must run at most once, an earlier
-// copy of it may have run elsewhere, unless the call itself is wrong.
-func refuse(call api.Call, err error) request.Result {
-	once := call.Repeatable != nil && !*call.Repeatable
-	if once && problem.KindOf(err) == problem.Unavailable {
+// refusedResult returns the result of a rejected call. An earlier copy of an at-most-once call may
+// have run on another instance, unless the call itself is invalid.
+func refusedResult(call api.Call, err error) request.Result {
+	atMostOnce := call.Repeatable != nil && !*call.Repeatable
+	if atMostOnce && problem.KindOf(err) == problem.Unavailable {
 		return request.Uncertain(call.RequestID, err)
 	}
 	return request.Refuse(call.RequestID, err)
 }
 
-// run runs a request; a not-repeatable one through the gate. The tokens of one that
-// is not repeatable come all at the end: a copy of it may be answered from memory.
-func (f *Face) run(ctx context.Context, r request.Request, sink func(endpoint.Token) error) request.Result {
+// run runs a request. A non-repeatable request goes through the at-most-once gate and does not
+// stream its tokens, because a copy of it may be served from the stored result.
+func (h *Face) run(ctx context.Context, r request.Request, sink func(endpoint.Token) error) request.Result {
 	if r.Repeatable {
-		return f.Runner.Run(ctx, r, sink)
+		return h.Runner.Run(ctx, r, sink)
 	}
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	return f.Gate.Do(ctx, r)
+	return h.Gate.Do(ctx, r)
 }
 
-// accept checks what can be checked without running anything.
-func (f *Face) accept(call api.Call, pipelineName string, now time.Time) (request.Request, error) {
-	if f.stopping.Load() {
+// validate checks a call and converts it to a request.
+func (h *Face) validate(call api.Call, pipelineName string, now time.Time) (request.Request, error) {
+	if h.stopping.Load() {
 		return request.Request{}, errStopping()
 	}
-	pipeline := f.Pipeline(pipelineName)
+	pipeline := h.Pipeline(pipelineName)
 	if pipeline == nil {
-		return request.Request{}, problem.New(problem.NotFound, "name a pipeline that is configured; nothing ran", "no pipeline %q", pipelineName)
+		return request.Request{}, problem.New(problem.NotFound, "use the name of a configured pipeline; the request has not run", "pipeline %q does not exist", pipelineName)
 	}
 	if len(call.Input) == 0 {
-		return request.Request{}, problem.New(problem.Invalid, "give input, any JSON value; nothing ran", "the call has no input")
+		return request.Request{}, problem.New(problem.Invalid, "set input to a JSON value; the request has not run", "the call has no input")
 	}
 	if len(call.RequestID) > maxRequestID {
-		return request.Request{}, problem.New(problem.Invalid, "use at most 128 characters; nothing ran", "request_id has %d characters", len(call.RequestID))
+		return request.Request{}, problem.New(problem.Invalid, "use at most 128 characters; the request has not run", "request_id has %d characters", len(call.RequestID))
 	}
 	if call.DeadlineMs < 0 {
-		return request.Request{}, problem.New(problem.Invalid, "give a positive number of milliseconds; nothing ran", "deadline_ms is %d", call.DeadlineMs)
+		return request.Request{}, problem.New(problem.Invalid, "use a positive number of milliseconds; the request has not run", "deadline_ms is %d", call.DeadlineMs)
 	}
 	allowed := pipeline.Deadline()
-	if asked := time.Duration(call.DeadlineMs) * time.Millisecond; call.DeadlineMs > 0 && asked < allowed {
-		allowed = asked
+	if requested := time.Duration(call.DeadlineMs) * time.Millisecond; call.DeadlineMs > 0 && requested < allowed {
+		allowed = requested
 	}
 	r := convert.Request(call, pipelineName, now, allowed)
 	if r.ID == "" && !r.Repeatable {
-		return request.Request{}, problem.New(problem.Invalid, "give a request_id that all copies of the request carry; nothing ran", "a request that is not repeatable has no request_id")
+		return request.Request{}, problem.New(problem.Invalid, "set the same request_id in all copies of the request; the request has not run", "a non-repeatable request has no request_id")
 	}
 	if r.ID == "" {
 		r.ID = uuid.NewString()
@@ -177,28 +176,28 @@
 }
 
 func errStopping() error {
-	return problem.New(problem.Unavailable, "ask another instance; nothing of this copy ran", "this instance is stopping")
+	return problem.New(problem.Unavailable, "send the request to another instance; this copy has not run", "this instance is shutting down")
 }
 
-// decode reads one JSON object of at most limit bytes.
-func decode(w http.ResponseWriter, r *http.Request, limit int64, v any) error {
+// decodeJSON decodes a single JSON object of at most limit bytes.
+func decodeJSON(w http.ResponseWriter, r *http.Request, limit int64, v any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, limit))
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(v)
-	var tooLong *http.MaxBytesError
-	if errors.As(err, &tooLong) {
-		return problem.New(problem.Invalid, "send less; nothing ran", "the body is longer than %d bytes", limit)
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return problem.New(problem.Invalid, "send a smaller body; the request has not run", "the body exceeds %d bytes", limit)
 	}
 	if err != nil {
-		return problem.Wrap(err, problem.Invalid, "send one JSON object with the fields of docs/CALLERS.md; nothing ran", "the body does not parse")
+		return problem.Wrap(err, problem.Invalid, "send one JSON object with the fields described in docs/CALLERS.md; the request has not run", "cannot decode the body")
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return problem.New(problem.Invalid, "send one JSON object; nothing ran", "the body goes on after the first object")
+		return problem.New(problem.Invalid, "send one JSON object; the request has not run", "the body has data after the JSON object")
 	}
 	return nil
 }
 
-func respond(w http.ResponseWriter, result request.Result) error {
+func writeResult(w http.ResponseWriter, result request.Result) error {
 	if result.RetryAfterMs > 0 {
 		seconds := (result.RetryAfterMs + 999) / 1000
 		w.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
@@ -212,8 +211,7 @@
 	return json.NewEncoder(w).Encode(v)
 }
 
-// statusOf returns the HTTP status that fits a result. The outcome in the body says
-// more.
+// statusOf returns the HTTP status of a result. The outcome in the body is more precise.
 func statusOf(r request.Result) int {
 	if r.Outcome == request.Answered {
 		return http.StatusOK
--- a/service/callers/stream.go
+++ b/service/callers/stream.go
@@ -14,25 +14,24 @@
 	"github.com/cobaltcroft/cobaltcroft/service/convert"
 )
 
-// The names of the events in a streamed answer.
+// Event names of a streamed response.
 const (
 	eventToken  = "token"
 	eventResult = "result"
 )
 
-// writeTimeout bounds how long one event may wait for a slow caller.
+// writeTimeout limits the time to write an event to a slow client.
 const writeTimeout = 5 * time.Second
 
-// eventWriter writes server-sent events.
 type eventWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
-	begun   bool
+	started bool
 }
 
 func (e *eventWriter) write(name string, v any) error {
-	if !e.begun {
-		e.begun = true
+	if !e.started {
+		e.started = true
 		e.w.Header().Set("Content-Type", "text/event-stream")
 		e.w.Header().Set("Cache-Control", "no-store")
 		e.w.WriteHeader(http.StatusOK)
@@ -48,16 +47,15 @@
 	return e.control.Flush()
 }
 
-// stream answers a call as events: a token event for each token, then one result
-// event. A call that fails before the first token gets a plain JSON answer with the
-// fitting status.
-func (f *Face) stream(w http.ResponseWriter, r bunrouter.Request, req request.Request) error {
+// handleStream sends the response as server-sent events: one per token, then the result. If the
+// call fails before the first token, it sends a JSON response with the matching status instead.
+func (h *Face) handleStream(w http.ResponseWriter, r bunrouter.Request, req request.Request) error {
 	events := &eventWriter{w: w, control: http.NewResponseController(w)}
-	result := f.run(r.Context(), req, func(token endpoint.Token) error {
+	result := h.run(r.Context(), req, func(token endpoint.Token) error {
 		return events.write(eventToken, api.Token(token))
 	})
-	if !events.begun && result.Outcome != request.Answered {
-		return respond(w, result)
+	if !events.started && result.Outcome != request.Answered {
+		return writeResult(w, result)
 	}
 	return events.write(eventResult, convert.Result(result))
 }
