--- a/cmd/cobaltcroftd/daemon/faces.go
+++ b/cmd/cobaltcroftd/daemon/faces.go
@@ -179,7 +179,7 @@
 // callersService is the callers' face.
 type callersService struct {
 	traffic *trafficService
-	face    *callers.Face
+	face    *callers.Handler
 	http    *httpFace
 }
 
--- a/service/callers/callers.go
+++ b/service/callers/callers.go
@@ -50,16 +50,16 @@
 	Log     *logrus.Entry
 }
 
-// Face is the HTTP handler for callers.
-type Face struct {
+// Handler is the HTTP handler for callers.
+type Handler struct {
 	Options
 	router   *bunrouter.Router
 	unready  atomic.Bool
 	stopping atomic.Bool
 }
 
-func New(o Options) *Face {
-	h := &Face{Options: o, router: bunrouter.New()}
+func New(o Options) *Handler {
+	h := &Handler{Options: o, router: bunrouter.New()}
 	h.router.POST("/v1/pipelines/:pipeline", h.handleCall)
 	h.router.POST("/v1/tickets", h.handleTicket)
 	h.router.GET("/ready", h.handleReady)
@@ -71,15 +71,15 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (h *Face) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.router.ServeHTTP(w, r) }
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.router.ServeHTTP(w, r) }
 
 // Unready fails the readiness check, so that load balancers send new requests to other instances.
-func (h *Face) Unready() { h.unready.Store(true) }
+func (h *Handler) Unready() { h.unready.Store(true) }
 
 // Stopping rejects new requests. Requests in flight continue.
-func (h *Face) Stopping() { h.stopping.Store(true) }
+func (h *Handler) Stopping() { h.stopping.Store(true) }
 
-func (h *Face) handleReady(w http.ResponseWriter, _ bunrouter.Request) error {
+func (h *Handler) handleReady(w http.ResponseWriter, _ bunrouter.Request) error {
 	status := http.StatusOK
 	if h.unready.Load() || !h.Ready() {
 		status = http.StatusServiceUnavailable
@@ -88,7 +88,7 @@
 	return nil
 }
 
-func (h *Face) handleTicket(w http.ResponseWriter, r bunrouter.Request) error {
+func (h *Handler) handleTicket(w http.ResponseWriter, r bunrouter.Request) error {
 	body := api.TicketRequest{}
 	if err := decodeJSON(w, r.Request, maxTicketBody, &body); err != nil {
 		return writeResult(w, request.Refuse("", err))
@@ -103,7 +103,7 @@
 	return writeJSON(w, http.StatusOK, api.Ticket{RequestID: body.RequestID, Ticket: ticket, ExpiresInMs: atmostonce.TicketLife.Milliseconds()})
 }
 
-func (h *Face) handleCall(w http.ResponseWriter, r bunrouter.Request) error {
+func (h *Handler) handleCall(w http.ResponseWriter, r bunrouter.Request) error {
 	now := time.Now()
 	var call api.Call
 	if err := decodeJSON(w, r.Request, h.MaxBody, &call); err != nil {
@@ -134,7 +134,7 @@
 
 // run runs a request. A non-repeatable request goes through the at-most-once gate and does not
 // stream its tokens, because a copy of it may be served from the stored result.
-func (h *Face) run(ctx context.Context, r request.Request, sink func(endpoint.Token) error) request.Result {
+func (h *Handler) run(ctx context.Context, r request.Request, sink func(endpoint.Token) error) request.Result {
 	if r.Repeatable {
 		return h.Runner.Run(ctx, r, sink)
 	}
@@ -144,7 +144,7 @@
 }
 
 // validate checks a call and converts it to a request.
-func (h *Face) validate(call api.Call, pipelineName string, now time.Time) (request.Request, error) {
+func (h *Handler) validate(call api.Call, pipelineName string, now time.Time) (request.Request, error) {
 	if h.stopping.Load() {
 		return request.Request{}, errStopping()
 	}
--- a/service/callers/stream.go
+++ b/service/callers/stream.go
@@ -49,7 +49,7 @@
 
 // handleStream sends the response as server-sent events: one per token, then the result. If the
 // call fails before the first token, it sends a JSON response with the matching status instead.
-func (h *Face) handleStream(w http.ResponseWriter, r bunrouter.Request, req request.Request) error {
+func (h *Handler) handleStream(w http.ResponseWriter, r bunrouter.Request, req request.Request) error {
 	events := &eventWriter{w: w, control: http.NewResponseController(w)}
 	result := h.run(r.Context(), req, func(token endpoint.Token) error {
 		return events.write(eventToken, api.Token(token))
