--- a/cmd/cobaltcroftd/daemon/faces.go
+++ b/cmd/cobaltcroftd/daemon/faces.go
@@ -210,7 +210,7 @@
 	b.stopping.Store(true)
 	b.ring.Add(timeline.Event{Kind: timeline.InstanceStopping})
 	s.traffic.control.Stopping()
-	s.face.Unready()
+	s.face.SetUnready()
 	time.Sleep(leaveTime)
 	s.face.Stopping()
 	if err := s.http.stop(b.settings.Timings.StopGrace.Std()); err != nil {
--- a/service/callers/callers.go
+++ b/service/callers/callers.go
@@ -73,8 +73,8 @@
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.router.ServeHTTP(w, r) }
 
-// Unready fails the readiness check, so that load balancers send new requests to other instances.
-func (h *Handler) Unready() { h.unready.Store(true) }
+// SetUnready fails the readiness check, so that load balancers send new requests to other instances.
+func (h *Handler) SetUnready() { h.unready.Store(true) }
 
 // Stopping rejects new requests. Requests in flight continue.
 func (h *Handler) Stopping() { h.stopping.Store(true) }
