--- a/cmd/cobaltcroftd/daemon/faces.go
+++ b/cmd/cobaltcroftd/daemon/faces.go
@@ -212,7 +212,7 @@
 	s.traffic.control.Stopping()
 	s.face.SetUnready()
 	time.Sleep(leaveTime)
-	s.face.Stopping()
+	s.face.RejectRequests()
 	if err := s.http.stop(b.settings.Timings.StopGrace.Std()); err != nil {
 		b.logs.For("callers").WithFields(logrus.Fields{"event": "stop_grace_over", "in_flight": s.traffic.executor.InFlight()}).Warn(err)
 	}
--- a/service/callers/callers.go
+++ b/service/callers/callers.go
@@ -76,8 +76,8 @@
 // SetUnready fails the readiness check, so that load balancers send new requests to other instances.
 func (h *Handler) SetUnready() { h.unready.Store(true) }
 
-// Stopping rejects new requests. Requests in flight continue.
-func (h *Handler) Stopping() { h.stopping.Store(true) }
+// RejectRequests rejects new requests. Requests in flight continue.
+func (h *Handler) RejectRequests() { h.stopping.Store(true) }
 
 func (h *Handler) handleReady(w http.ResponseWriter, _ bunrouter.Request) error {
 	status := http.StatusOK
