--- a/service/callers/callers.go
+++ b/service/callers/callers.go
@@ -37,7 +37,7 @@
 	Run(ctx context.Context, r request.Request, sink func(endpoint.Token) error) request.Result
 }
 
-// Options configures a Face.
+// Options configures a Handler.
 type Options struct {
 	Runner Runner
 	Gate   *atmostonce.Gate
