--- a/service/operators/errors.go
+++ b/service/operators/errors.go
@@ -19,7 +19,7 @@
 	problem.Internal:    connect.CodeInternal,
 }
 
-// connectError returns err as a Connect error that carries a ProblemDetail.
+// connectError converts err to a Connect error with a ProblemDetail.
 func connectError(err error) error {
 	p := problem.Find(err)
 	if p == nil {
--- a/service/operators/operators.go
+++ b/service/operators/operators.go
@@ -1,5 +1,5 @@
-// Package operators is the operators' face: the service of api/cobaltcroft/v1 over
-// gRPC, gRPC-Web and Connect.
+// Package operators implements the operators' API: the service of api/cobaltcroft/v1 over gRPC,
+// gRPC-Web and Connect.
 package operators
 
 import (
@@ -28,37 +28,36 @@
 )
 
 const (
-	// maxRequestBytes bounds an operator's message.
+	// maxRequestBytes is the maximum size of a request message.
 	maxRequestBytes = 16 << 20
-	// applyTimeout bounds Apply where the caller gives no shorter time; of a shorter
-	// time, answerShare is kept for the answer, so that a fate that is known here is
-	// not lost on the way.
-	applyTimeout = 5 * time.Second
-	answerShare  = 0.1
-	// peerTimeout bounds what is asked of one peer, peersAtOnce how many are asked
-	// at once.
-	peerTimeout = 2 * time.Second
-	peersAtOnce = 32
-	// defaultHistory is how many changes History gives where no limit is named.
+	// applyTimeout is the longest duration of Apply. If the caller has a shorter deadline,
+	// responseShare of the remaining time is reserved for the response, so that a known outcome
+	// still reaches the caller.
+	applyTimeout  = 5 * time.Second
+	responseShare = 0.1
+	// peerTimeout limits the calls to peers, maxConcurrentPeers their concurrency.
+	peerTimeout        = 2 * time.Second
+	maxConcurrentPeers = 32
+	// defaultHistory is the number of changes that History returns if no limit is set.
 	defaultHistory = 100
 	maxChangeID    = 128
 )
 
-// Peers asks other instances.
+// Peers calls other instances.
 type Peers interface {
 	Status(ctx context.Context, address string) (api.InstanceStatus, error)
 	Timeline(ctx context.Context, address string, selection api.TimelineSelect) (api.TimelineEvents, error)
 }
 
-// Options of the face.
+// Options configures a Face.
 type Options struct {
 	Tokens    []string
 	Submitter *config.Submitter
 	Replica   *config.Replica
 	Control   *control.Control
-	// Reached tells whether the key-value service answers.
+	// Reached reports whether the key-value service is reachable.
 	Reached func() bool
-	// OwnStatus and Select answer for this instance.
+	// OwnStatus and Select return the status and timeline of this instance.
 	OwnStatus func() api.InstanceStatus
 	Select    func(api.TimelineSelect) api.TimelineEvents
 	Peers     Peers
@@ -67,23 +66,23 @@
 	Log       *logrus.Entry
 }
 
-// Face is the operators' face.
+// Face implements the Operators service.
 type Face struct{ Options }
 
 var _ cobaltcroftv1connect.OperatorsHandler = (*Face)(nil)
 
-// New returns the face as a path prefix and its handler.
+// New returns the path prefix of the service and its handler.
 func New(o Options) (string, http.Handler) {
-	f := &Face{o}
-	return cobaltcroftv1connect.NewOperatorsHandler(f, connect.WithReadMaxBytes(maxRequestBytes), connect.WithInterceptors(connect.UnaryInterceptorFunc(f.guard)))
+	s := &Face{o}
+	return cobaltcroftv1connect.NewOperatorsHandler(s, connect.WithReadMaxBytes(maxRequestBytes), connect.WithInterceptors(connect.UnaryInterceptorFunc(s.authenticate)))
 }
 
-// guard refuses calls without a right token, and turns problems into Connect errors.
-func (f *Face) guard(next connect.UnaryFunc) connect.UnaryFunc {
+// authenticate rejects calls without a valid token and converts errors to Connect errors.
+func (s *Face) authenticate(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
-		if !f.known(strings.TrimPrefix(req.Header().Get("Authorization"), "Bearer ")) {
-			f.Log.WithFields(logrus.Fields{"event": "operator_refused", "from": req.Peer().Addr, "procedure": req.Spec().Procedure}).Warn()
-			return nil, connectError(problem.New(problem.Denied, "send the header 'Authorization: Bearer TOKEN' with one of tokens.operators", "the token is missing or wrong"))
+		if !s.validToken(strings.TrimPrefix(req.Header().Get("Authorization"), "Bearer ")) {
+			s.Log.WithFields(logrus.Fields{"event": "operator_refused", "from": req.Peer().Addr, "procedure": req.Spec().Procedure}).Warn()
+			return nil, connectError(problem.New(problem.Denied, "send the header 'Authorization: Bearer TOKEN' with one of tokens.operators", "the token is missing or invalid"))
 		}
 		resp, err := next(ctx, req)
 		if err != nil {
@@ -93,49 +92,49 @@
 	}
 }
 
-func (f *Face) known(token string) bool {
+func (s *Face) validToken(token string) bool {
 	found := 0
-	for _, t := range f.Tokens {
+	for _, t := range s.Tokens {
 		found |= subtle.ConstantTimeCompare([]byte(t), []byte(token))
 	}
 	return found == 1
 }
 
-// Apply implements the service.
-func (f *Face) Apply(ctx context.Context, req *connect.Request[pb.ApplyRequest]) (*connect.Response[pb.ApplyResponse], error) {
+// Apply implements cobaltcroftv1connect.OperatorsHandler.
+func (s *Face) Apply(ctx context.Context, req *connect.Request[pb.ApplyRequest]) (*connect.Response[pb.ApplyResponse], error) {
 	id := req.Msg.ChangeId
 	if id == "" {
 		id = uuid.NewString()
 	}
 	if len(id) > maxChangeID {
-		return nil, problem.New(problem.Invalid, "use at most 128 characters; nothing was changed", "change_id has %d characters", len(id))
+		return nil, problem.New(problem.Invalid, "use at most 128 characters; the change was not applied", "change_id has %d characters", len(id))
 	}
-	ctx, cancel := context.WithTimeout(ctx, applyTime(ctx))
+	ctx, cancel := context.WithTimeout(ctx, applyBudget(ctx))
 	defer cancel()
-	change := config.NewChange(id, req.Msg.Author, f.Clock.Now(), convert.Operations(req.Msg.Operations)...)
-	result, err := f.Submitter.Submit(ctx, change)
+	change := config.NewChange(id, req.Msg.Author, s.Clock.Now(), convert.Operations(req.Msg.Operations)...)
+	result, err := s.Submitter.Submit(ctx, change)
 	if err != nil {
-		f.Ring.Add(timeline.Event{Kind: timeline.ChangeRefused, Change: id, Detail: err.Error()})
-		f.Log.WithFields(logrus.Fields{"event": timeline.ChangeRefused, "change": id, "kind": problem.KindOf(err)}).Warn(err)
+		s.Ring.Add(timeline.Event{Kind: timeline.ChangeRefused, Change: id, Detail: err.Error()})
+		s.Log.WithFields(logrus.Fields{"event": timeline.ChangeRefused, "change": id, "kind": problem.KindOf(err)}).Warn(err)
 		return nil, err
 	}
-	f.Ring.Add(timeline.Event{Kind: timeline.ChangeAccepted, Change: id})
-	f.Log.WithFields(logrus.Fields{"event": timeline.ChangeAccepted, "change": id, "revision": result.Revision, "repeated": result.Repeated, "author": req.Msg.Author}).Info()
+	s.Ring.Add(timeline.Event{Kind: timeline.ChangeAccepted, Change: id})
+	s.Log.WithFields(logrus.Fields{"event": timeline.ChangeAccepted, "change": id, "revision": result.Revision, "repeated": result.Repeated, "author": req.Msg.Author}).Info()
 	return connect.NewResponse(&pb.ApplyResponse{ChangeId: id, Revision: result.Revision, Repeated: result.Repeated}), nil
 }
 
-func applyTime(ctx context.Context) time.Duration {
+func applyBudget(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return applyTimeout
 	}
-	left := time.Until(deadline)
-	return min(applyTimeout, left-time.Duration(answerShare*float64(left)))
+	remaining := time.Until(deadline)
+	return min(applyTimeout, remaining-time.Duration(responseShare*float64(remaining)))
 }
 
-// GetConfiguration implements the service.
-func (f *Face) GetConfiguration(_ context.Context, req *connect.Request[pb.GetConfigurationRequest]) (*connect.Response[pb.GetConfigurationResponse], error) {
-	current := f.Replica.Current()
+// GetConfiguration implements cobaltcroftv1connect.OperatorsHandler.
+func (s *Face) GetConfiguration(_ context.Context, req *connect.Request[pb.GetConfigurationRequest]) (*connect.Response[pb.GetConfigurationResponse], error) {
+	current := s.Replica.Current()
 	resp := &pb.GetConfigurationResponse{Revision: current.Revision()}
 	for _, key := range current.Keys() {
 		if req.Msg.Kind != "" && req.Msg.Kind != string(key.Kind) {
@@ -150,13 +149,13 @@
 	return connect.NewResponse(resp), nil
 }
 
-// History implements the service.
-func (f *Face) History(_ context.Context, req *connect.Request[pb.HistoryRequest]) (*connect.Response[pb.HistoryResponse], error) {
+// History implements cobaltcroftv1connect.OperatorsHandler.
+func (s *Face) History(_ context.Context, req *connect.Request[pb.HistoryRequest]) (*connect.Response[pb.HistoryResponse], error) {
 	limit := int(req.Msg.Limit)
 	if limit == 0 {
 		limit = defaultHistory
 	}
-	accepted := f.Replica.Current().Accepted()
+	accepted := s.Replica.Current().Accepted()
 	resp := &pb.HistoryResponse{}
 	for _, a := range accepted[max(0, len(accepted)-limit):] {
 		resp.Changes = append(resp.Changes, convert.Change(a))
@@ -164,28 +163,28 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Status implements the service.
-func (f *Face) Status(ctx context.Context, _ *connect.Request[pb.StatusRequest]) (*connect.Response[pb.StatusResponse], error) {
-	self := f.self()
+// Status implements cobaltcroftv1connect.OperatorsHandler.
+func (s *Face) Status(ctx context.Context, _ *connect.Request[pb.StatusRequest]) (*connect.Response[pb.StatusResponse], error) {
+	self := s.instanceStatus()
 	resp := &pb.StatusResponse{
 		Instance:          self.Name,
 		Revision:          self.Revision,
-		PlatformReachable: f.Reached(),
-		Instances:         append(f.askStatus(ctx), self),
-		Endpoints:         f.endpoints(),
+		PlatformReachable: s.Reached(),
+		Instances:         append(s.peerStatuses(ctx), self),
+		Endpoints:         s.endpointStatuses(),
 	}
 	sort.Slice(resp.Instances, func(i, j int) bool { return resp.Instances[i].Name < resp.Instances[j].Name })
 	return connect.NewResponse(resp), nil
 }
 
-// askStatus asks all peers at once; for one that does not answer, what its last
-// heartbeat told is given.
-func (f *Face) askStatus(ctx context.Context) []*pb.InstanceStatus {
-	members := f.Control.Members()
+// peerStatuses queries all peers concurrently. For a peer that does not respond, it returns the
+// state of the last heartbeat.
+func (s *Face) peerStatuses(ctx context.Context) []*pb.InstanceStatus {
+	members := s.Control.Members()
 	statuses := make([]*pb.InstanceStatus, len(members))
-	f.eachPeer(ctx, members, func(ctx context.Context, i int) {
+	s.forEachPeer(ctx, members, func(ctx context.Context, i int) {
 		member := members[i]
-		status, err := f.Peers.Status(ctx, member.PeerAddress)
+		status, err := s.Peers.Status(ctx, member.PeerAddress)
 		statuses[i] = &pb.InstanceStatus{Name: member.Name, FailureDomain: member.FailureDomain, State: string(member.State), Revision: member.Revision, Incarnation: member.Incarnation}
 		if err == nil {
 			statuses[i].Reached = true
@@ -195,33 +194,33 @@
 	return statuses
 }
 
-func (f *Face) eachPeer(ctx context.Context, members []membership.Member, ask func(ctx context.Context, i int)) {
+func (s *Face) forEachPeer(ctx context.Context, members []membership.Member, call func(ctx context.Context, i int)) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	var group errgroup.Group
-	group.SetLimit(peersAtOnce)
+	group.SetLimit(maxConcurrentPeers)
 	for i := range members {
 		group.Go(func() error {
-			ask(ctx, i)
+			call(ctx, i)
 			return nil
 		})
 	}
 	_ = group.Wait()
 }
 
-// self is this instance's own row.
-func (f *Face) self() *pb.InstanceStatus {
-	s := f.OwnStatus()
+// instanceStatus returns the status of this instance.
+func (s *Face) instanceStatus() *pb.InstanceStatus {
+	status := s.OwnStatus()
 	state := membership.Live
-	if s.Stopping {
+	if status.Stopping {
 		state = membership.Leaving
 	}
-	return &pb.InstanceStatus{Name: s.Instance, FailureDomain: s.FailureDomain, State: string(state), Revision: s.Revision, Incarnation: s.Incarnation, Reached: true}
+	return &pb.InstanceStatus{Name: status.Instance, FailureDomain: status.FailureDomain, State: string(state), Revision: status.Revision, Incarnation: status.Incarnation, Reached: true}
 }
 
-func (f *Face) endpoints() []*pb.EndpointStatus {
+func (s *Face) endpointStatuses() []*pb.EndpointStatus {
 	var list []*pb.EndpointStatus
-	view := f.Control.View()
+	view := s.Control.View()
 	for _, service := range view.Configuration.Services() {
 		for _, e := range view.Pools[service.Name].Statuses() {
 			state := "live"
@@ -234,27 +233,27 @@
 	return list
 }
 
-// Timeline implements the service.
-func (f *Face) Timeline(ctx context.Context, req *connect.Request[pb.TimelineRequest]) (*connect.Response[pb.TimelineResponse], error) {
+// Timeline implements cobaltcroftv1connect.OperatorsHandler.
+func (s *Face) Timeline(ctx context.Context, req *connect.Request[pb.TimelineRequest]) (*connect.Response[pb.TimelineResponse], error) {
 	selection := api.TimelineSelect{Request: req.Msg.RequestId, Change: req.Msg.ChangeId, Endpoint: req.Msg.Endpoint, Limit: int(req.Msg.Limit)}
-	members := f.Control.Members()
-	answers := make([]api.TimelineEvents, len(members)+1)
+	members := s.Control.Members()
+	responses := make([]api.TimelineEvents, len(members)+1)
 	gaps := make([]string, len(members))
-	answers[len(members)] = f.Select(selection)
-	f.eachPeer(ctx, members, func(ctx context.Context, i int) {
-		events, err := f.Peers.Timeline(ctx, members[i].PeerAddress, selection)
+	responses[len(members)] = s.Select(selection)
+	s.forEachPeer(ctx, members, func(ctx context.Context, i int) {
+		events, err := s.Peers.Timeline(ctx, members[i].PeerAddress, selection)
 		if err != nil {
-			gaps[i] = members[i].Name + " was not reached; its events are missing"
+			gaps[i] = members[i].Name + " is unreachable; its events are missing"
 			return
 		}
-		answers[i] = events
+		responses[i] = events
 	})
 	resp := &pb.TimelineResponse{}
 	var parts [][]timeline.Event
-	for _, answer := range answers {
-		parts = append(parts, eventsFrom(answer))
-		if answer.Dropped > 0 {
-			gaps = append(gaps, answer.Instance+" no longer has its older events")
+	for _, response := range responses {
+		parts = append(parts, convertEvents(response))
+		if response.Dropped > 0 {
+			gaps = append(gaps, response.Instance+" has discarded its older events")
 		}
 	}
 	for _, gap := range gaps {
@@ -268,9 +267,9 @@
 	return connect.NewResponse(resp), nil
 }
 
-func eventsFrom(answer api.TimelineEvents) []timeline.Event {
-	events := make([]timeline.Event, 0, len(answer.Events))
-	for _, e := range answer.Events {
+func convertEvents(response api.TimelineEvents) []timeline.Event {
+	events := make([]timeline.Event, 0, len(response.Events))
+	for _, e := range response.Events {
 		events = append(events, convert.EventFrom(e))
 	}
 	return events
