--- a/service/operators/operators.go
+++ b/service/operators/operators.go
@@ -66,19 +66,19 @@
 	Log       *logrus.Entry
 }
 
-// Face implements the Operators service.
-type Face struct{ Options }
+// Handler implements the Operators service.
+type Handler struct{ Options }
 
-var _ cobaltcroftv1connect.OperatorsHandler = (*Face)(nil)
+var _ cobaltcroftv1connect.OperatorsHandler = (*Handler)(nil)
 
 // New returns the path prefix of the service and its handler.
 func New(o Options) (string, http.Handler) {
-	s := &Face{o}
+	s := &Handler{o}
 	return cobaltcroftv1connect.NewOperatorsHandler(s, connect.WithReadMaxBytes(maxRequestBytes), connect.WithInterceptors(connect.UnaryInterceptorFunc(s.authenticate)))
 }
 
 // authenticate rejects calls without a valid token and converts errors to Connect errors.
-func (s *Face) authenticate(next connect.UnaryFunc) connect.UnaryFunc {
+func (s *Handler) authenticate(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 		if !s.validToken(strings.TrimPrefix(req.Header().Get("Authorization"), "Bearer ")) {
 			s.Log.WithFields(logrus.Fields{"event": "operator_refused", "from": req.Peer().Addr, "procedure": req.Spec().Procedure}).Warn()
@@ -92,7 +92,7 @@
 	}
 }
 
-func (s *Face) validToken(token string) bool {
+func (s *Handler) validToken(token string) bool {
 	found := 0
 	for _, t := range s.Tokens {
 		found |= subtle.ConstantTimeCompare([]byte(t), []byte(token))
@@ -101,7 +101,7 @@
 }
 
 // Apply implements cobaltcroftv1connect.OperatorsHandler.
-func (s *Face) Apply(ctx context.Context, req *connect.Request[pb.ApplyRequest]) (*connect.Response[pb.ApplyResponse], error) {
+func (s *Handler) Apply(ctx context.Context, req *connect.Request[pb.ApplyRequest]) (*connect.Response[pb.ApplyResponse], error) {
 	id := req.Msg.ChangeId
 	if id == "" {
 		id = uuid.NewString()
@@ -133,7 +133,7 @@
 }
 
 // GetConfiguration implements cobaltcroftv1connect.OperatorsHandler.
-func (s *Face) GetConfiguration(_ context.Context, req *connect.Request[pb.GetConfigurationRequest]) (*connect.Response[pb.GetConfigurationResponse], error) {
+func (s *Handler) GetConfiguration(_ context.Context, req *connect.Request[pb.GetConfigurationRequest]) (*connect.Response[pb.GetConfigurationResponse], error) {
 	current := s.Replica.Current()
 	resp := &pb.GetConfigurationResponse{Revision: current.Revision()}
 	for _, key := range current.Keys() {
@@ -150,7 +150,7 @@
 }
 
 // History implements cobaltcroftv1connect.OperatorsHandler.
-func (s *Face) History(_ context.Context, req *connect.Request[pb.HistoryRequest]) (*connect.Response[pb.HistoryResponse], error) {
+func (s *Handler) History(_ context.Context, req *connect.Request[pb.HistoryRequest]) (*connect.Response[pb.HistoryResponse], error) {
 	limit := int(req.Msg.Limit)
 	if limit == 0 {
 		limit = defaultHistory
@@ -164,7 +164,7 @@
 }
 
 // Status implements cobaltcroftv1connect.OperatorsHandler.
-func (s *Face) Status(ctx context.Context, _ *connect.Request[pb.StatusRequest]) (*connect.Response[pb.StatusResponse], error) {
+func (s *Handler) Status(ctx context.Context, _ *connect.Request[pb.StatusRequest]) (*connect.Response[pb.StatusResponse], error) {
 	self := s.instanceStatus()
 	resp := &pb.StatusResponse{
 		Instance:          self.Name,
@@ -179,7 +179,7 @@
 
 // peerStatuses queries all peers concurrently. For a peer that does not respond, it returns the
 // state of the last heartbeat.
-func (s *Face) peerStatuses(ctx context.Context) []*pb.InstanceStatus {
+func (s *Handler) peerStatuses(ctx context.Context) []*pb.InstanceStatus {
 	members := s.Control.Members()
 	statuses := make([]*pb.InstanceStatus, len(members))
 	s.forEachPeer(ctx, members, func(ctx context.Context, i int) {
@@ -194,7 +194,7 @@
 	return statuses
 }
 
-func (s *Face) forEachPeer(ctx context.Context, members []membership.Member, call func(ctx context.Context, i int)) {
+func (s *Handler) forEachPeer(ctx context.Context, members []membership.Member, call func(ctx context.Context, i int)) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	var group errgroup.Group
@@ -209,7 +209,7 @@
 }
 
 // instanceStatus returns the status of this instance.
-func (s *Face) instanceStatus() *pb.InstanceStatus {
+func (s *Handler) instanceStatus() *pb.InstanceStatus {
 	status := s.OwnStatus()
 	state := membership.Live
 	if status.Stopping {
@@ -218,7 +218,7 @@
 	return &pb.InstanceStatus{Name: status.Instance, FailureDomain: status.FailureDomain, State: string(state), Revision: status.Revision, Incarnation: status.Incarnation, Reached: true}
 }
 
-func (s *Face) endpointStatuses() []*pb.EndpointStatus {
+func (s *Handler) endpointStatuses() []*pb.EndpointStatus {
 	var list []*pb.EndpointStatus
 	view := s.Control.View()
 	for _, service := range view.Configuration.Services() {
@@ -234,7 +234,7 @@
 }
 
 // Timeline implements cobaltcroftv1connect.OperatorsHandler.
-func (s *Face) Timeline(ctx context.Context, req *connect.Request[pb.TimelineRequest]) (*connect.Response[pb.TimelineResponse], error) {
+func (s *Handler) Timeline(ctx context.Context, req *connect.Request[pb.TimelineRequest]) (*connect.Response[pb.TimelineResponse], error) {
 	selection := api.TimelineSelect{Request: req.Msg.RequestId, Change: req.Msg.ChangeId, Endpoint: req.Msg.Endpoint, Limit: int(req.Msg.Limit)}
 	members := s.Control.Members()
 	responses := make([]api.TimelineEvents, len(members)+1)
