--- a/cmd/cobaltcroftd/daemon/faces.go
+++ b/cmd/cobaltcroftd/daemon/faces.go
@@ -244,12 +244,12 @@
 	}
 	b := trafficService.base
 	path, handler := operators.New(operators.Options{
-		Tokens:    b.settings.Tokens.Operators,
-		Submitter: trafficService.config.submitter,
-		Replica:   trafficService.config.replica,
-		Control:   trafficService.control.Control,
-		Reached:   trafficService.config.follower.Reached,
-		OwnStatus: trafficService.Status,
+		Tokens:            b.settings.Tokens.Operators,
+		Submitter:         trafficService.config.submitter,
+		Replica:           trafficService.config.replica,
+		Control:           trafficService.control.Control,
+		PlatformReachable: trafficService.config.follower.Reached,
+		OwnStatus:         trafficService.Status,
 		Select: func(selection api.TimelineSelect) api.TimelineEvents {
 			return peers.Select(b.ring, b.settings.Instance, selection)
 		},
--- a/service/operators/operators.go
+++ b/service/operators/operators.go
@@ -55,8 +55,8 @@
 	Submitter *config.Submitter
 	Replica   *config.Replica
 	Control   *control.Control
-	// Reached reports whether the key-value service is reachable.
-	Reached func() bool
+	// PlatformReachable reports whether the key-value service is reachable.
+	PlatformReachable func() bool
 	// OwnStatus and Select return the status and timeline of this instance.
 	OwnStatus func() api.InstanceStatus
 	Select    func(api.TimelineSelect) api.TimelineEvents
@@ -169,7 +169,7 @@
 	resp := &pb.StatusResponse{
 		Instance:          self.Name,
 		Revision:          self.Revision,
-		PlatformReachable: s.Reached(),
+		PlatformReachable: s.PlatformReachable(),
 		Instances:         append(s.peerStatuses(ctx), self),
 		Endpoints:         s.endpointStatuses(),
 	}
