--- a/service/operators/operators.go
+++ b/service/operators/operators.go
@@ -58,12 +58,12 @@
 	// PlatformReachable reports whether the key-value service is reachable.
 	PlatformReachable func() bool
 	// OwnStatus and Select return the status and timeline of this instance.
-	OwnStatus func() api.InstanceStatus
-	Select    func(api.TimelineSelect) api.TimelineEvents
-	Peers     Peers
-	Clock     clockwork.Clock
-	Ring      *timeline.Ring
-	Log       *logrus.Entry
+	OwnStatus    func() api.InstanceStatus
+	SelectEvents func(api.TimelineSelect) api.TimelineEvents
+	Peers        Peers
+	Clock        clockwork.Clock
+	Ring         *timeline.Ring
+	Log          *logrus.Entry
 }
 
 // Handler implements the Operators service.
@@ -239,7 +239,7 @@
 	members := s.Control.Members()
 	responses := make([]api.TimelineEvents, len(members)+1)
 	gaps := make([]string, len(members))
-	responses[len(members)] = s.Select(selection)
+	responses[len(members)] = s.SelectEvents(selection)
 	s.forEachPeer(ctx, members, func(ctx context.Context, i int) {
 		events, err := s.Peers.Timeline(ctx, members[i].PeerAddress, selection)
 		if err != nil {
