--- a/service/operators/operators.go
+++ b/service/operators/operators.go
@@ -49,7 +49,7 @@
 	Timeline(ctx context.Context, address string, selection api.TimelineSelect) (api.TimelineEvents, error)
 }
 
-// Options configures a Face.
+// Options configures a Handler.
 type Options struct {
 	Tokens    []string
 	Submitter *config.Submitter
