--- a/service/convert/convert.go
+++ b/service/convert/convert.go
@@ -1,4 +1,4 @@
-// Package convert turns the wire types of the faces into the core's types and back.
+// Package convert converts between the wire types of the APIs and the internal types.
 package convert
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cobaltcroft/cobaltcroft/service/api"
 )
 
-// Request returns the core's form of a call that came at now and may take allowed.
+// Request converts a call received at now, with the given time allowed for it.
 func Request(call api.Call, pipeline string, now time.Time, allowed time.Duration) request.Request {
 	return request.Request{
 		ID:             call.RequestID,
@@ -25,7 +25,7 @@
 	}
 }
 
-// Call returns the wire form of a request.
+// Call converts a request to its wire form.
 func Call(r request.Request) api.Call {
 	return api.Call{
 		RequestID:      r.ID,
@@ -38,7 +38,7 @@
 	}
 }
 
-// Result returns the wire form of a result.
+// Result converts a result to its wire form.
 func Result(r request.Result) api.Result {
 	wire := api.Result{
 		RequestID:    r.RequestID,
@@ -56,7 +56,7 @@
 	return wire
 }
 
-// ResultFrom returns the core's form of a result.
+// ResultFrom converts a result from its wire form.
 func ResultFrom(wire api.Result) request.Result {
 	r := request.Result{
 		RequestID:    wire.RequestID,
@@ -74,7 +74,7 @@
 	return r
 }
 
-// Event returns the wire form of an event.
+// Event converts a timeline event to its wire form.
 func Event(e timeline.Event) api.Event {
 	return api.Event{
 		WallMs:   e.Stamp.WallMs,
@@ -90,7 +90,7 @@
 	}
 }
 
-// EventFrom returns the core's form of an event.
+// EventFrom converts a timeline event from its wire form.
 func EventFrom(wire api.Event) timeline.Event {
 	return timeline.Event{
 		Stamp:    timeline.Stamp{WallMs: wire.WallMs, Logical: wire.Logical},
--- a/service/convert/objects.go
+++ b/service/convert/objects.go
@@ -20,7 +20,7 @@
 	pb.StageKind_STAGE_KIND_PLAIN:      config.Plain,
 }
 
-// keyOf returns the key whose value is v; the zero key if there is none.
+// keyOf returns the key of the given value, or the zero key.
 func keyOf[K, V comparable](m map[K]V, v V) K {
 	for key, value := range m {
 		if value == v {
@@ -31,13 +31,13 @@
 	return zero
 }
 
-// Operations returns the core's form of the operations of a change.
+// Operations converts the operations of a change from their wire form.
 func Operations(wire []*pb.Operation) []config.Operation {
 	operations := make([]config.Operation, 0, len(wire))
 	for _, op := range wire {
 		converted := config.Operation{Base: op.BaseRevision}
 		if put := op.GetPut(); put != nil {
-			object := object(put)
+			object := objectFromWire(put)
 			converted.Put = &object
 		}
 		if key := op.GetDelete(); key != nil {
@@ -48,10 +48,10 @@
 	return operations
 }
 
-func object(wire *pb.Object) config.Object {
+func objectFromWire(wire *pb.Object) config.Object {
 	switch v := wire.Value.(type) {
 	case *pb.Object_Pipeline:
-		return config.Object{Pipeline: pipeline(v.Pipeline)}
+		return config.Object{Pipeline: pipelineFromWire(v.Pipeline)}
 	case *pb.Object_Service:
 		return config.Object{Service: &config.Service{Name: v.Service.Name, Kind: stageKinds[v.Service.Kind], Concurrency: v.Service.Concurrency}}
 	case *pb.Object_Organisation:
@@ -68,7 +68,7 @@
 	return config.Object{}
 }
 
-func pipeline(wire *pb.Pipeline) *config.Pipeline {
+func pipelineFromWire(wire *pb.Pipeline) *config.Pipeline {
 	p := &config.Pipeline{Name: wire.Name, Objective: objectives[wire.Objective], DeadlineMs: wire.DeadlineMs}
 	for _, s := range wire.Stages {
 		p.Stages = append(p.Stages, config.Stage{Name: s.Name, Kind: stageKinds[s.Kind], Service: s.Service, Model: s.Model, Adapter: s.Adapter, Version: s.Version, After: s.After})
@@ -76,12 +76,12 @@
 	return p
 }
 
-// Object returns the wire form of a stored object.
+// Object converts a stored object to its wire form.
 func Object(stored config.Stored) *pb.Object {
 	wire := &pb.Object{Revision: stored.Revision}
 	switch o := stored.Object; {
 	case o.Pipeline != nil:
-		wire.Value = &pb.Object_Pipeline{Pipeline: pipelineWire(o.Pipeline)}
+		wire.Value = &pb.Object_Pipeline{Pipeline: pipelineToWire(o.Pipeline)}
 	case o.Service != nil:
 		wire.Value = &pb.Object_Service{Service: &pb.Service{Name: o.Service.Name, Kind: keyOf(stageKinds, o.Service.Kind), Concurrency: o.Service.Concurrency}}
 	case o.Organisation != nil:
@@ -97,7 +97,7 @@
 	return wire
 }
 
-func pipelineWire(p *config.Pipeline) *pb.Pipeline {
+func pipelineToWire(p *config.Pipeline) *pb.Pipeline {
 	wire := &pb.Pipeline{Name: p.Name, Objective: keyOf(objectives, p.Objective), DeadlineMs: p.DeadlineMs}
 	for _, s := range p.Stages {
 		wire.Stages = append(wire.Stages, &pb.Stage{Name: s.Name, Kind: keyOf(stageKinds, s.Kind), Service: s.Service, Model: s.Model, Adapter: s.Adapter, Version: s.Version, After: s.After})
@@ -105,17 +105,17 @@
 	return wire
 }
 
-// Change returns the wire form of an accepted change.
+// Change converts an accepted change to its wire form.
 func Change(a config.Accepted) *pb.Change {
 	return &pb.Change{ChangeId: a.ID, Revision: a.Revision, Author: a.Author, TimeUnixMs: a.TimeMs, Keys: a.Keys}
 }
 
-// ObjectKey returns the key of a wire object: kind and name.
+// ObjectKey returns the kind and name of a wire object.
 func ObjectKey(wire *pb.Object) config.Key {
-	return object(wire).Key()
+	return objectFromWire(wire).Key()
 }
 
-// EventProto returns the operators' form of an event.
+// EventProto converts a timeline event to the wire form of the operators' API.
 func EventProto(e timeline.Event) *pb.Event {
 	return &pb.Event{
 		WallMs:    e.Stamp.WallMs,
