--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -8,7 +8,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/pipeline"
 )
 
-// The methods of the peers' jsonrpc2 face. A connection begins with MethodHello.
+// Methods of the JSON-RPC 2.0 API between instances. A connection starts with MethodHello.
 const (
 	MethodHello    = "peer.hello"
 	MethodPing     = "peer.ping"
@@ -16,55 +16,56 @@
 	MethodForward  = "callers.forward"
 	MethodStatus   = "instance.status"
 	MethodTimeline = "timeline.select"
-	// MethodState, MethodFollow and MethodPiece ask for what is known of endpoints and of the
-	// configuration. Versions of the program before them had discovery.state and
-	// discovery.relay, with whole documents in their answers; they read the source instead.
+	// MethodState, MethodFollow and MethodPiece query the known endpoints and the configuration.
+	// Older versions of the program have discovery.state and discovery.relay instead, whose
+	// responses contain whole documents; instances that run them read the source directly.
 	MethodState  = "discovery.known"
 	MethodFollow = "discovery.follow"
 	MethodPiece  = "discovery.piece"
 	MethodRun    = "pipeline.run"
 	MethodCancel = "pipeline.cancel"
 	MethodFree   = "pipeline.free"
-	// MethodReaderFailed tells the planner of a failure of an endpoint that it chose.
+	// MethodReaderFailed reports the failure of an endpoint to the instance that selected it.
 	MethodReaderFailed = "pipeline.reader_failed"
-	// MethodProgress tells the instance that handed a plan over of a stage that is made.
+	// MethodProgress reports a completed stage to the instance that delegated the plan.
 	MethodProgress = "pipeline.progress"
-	// MethodTake hands a part over to its next owner.
+	// MethodTake transfers a part to its next owner.
 	MethodTake = "pipeline.take"
-	// MethodRollout reports a rollout (rollout.Report) to its conductor; the answer is a rollout.Instruction. A
-	// version before it knows no rollouts, and answers that it does not know the method.
+	// MethodRollout sends a rollout.Report to the conductor, which responds with a
+	// rollout.Instruction. Older versions respond that the method is unknown.
 	MethodRollout = "rollout.report"
-	// MethodPermits asks for calls (throttle.PermitRequest) to an endpoint that names a limit for all instances; the answer is a
-	// throttle.PermitGrant. A version before it heeds no such limit, and answers that it does not know the method.
+	// MethodPermits sends a throttle.PermitRequest for an endpoint with a global limit; the
+	// response is a throttle.PermitGrant. Older versions ignore such limits and respond that the
+	// method is unknown.
 	MethodPermits = "throttle.permits"
 )
 
-// Hello presents the peers' token.
+// Hello authenticates a connection with the peers' token.
 type Hello struct {
 	Token    string `json:"token"`
 	Instance string `json:"instance"`
 }
 
-// Pull asks for the configuration after a revision; the answer is a config.Update.
+// Pull requests the configuration changes after a revision. The response is a config.Update.
 type Pull struct {
 	From uint64 `json:"from"`
 }
 
-// Forward hands a not-repeatable request to the instance it is bound to; the answer
-// is a Result.
+// Forward sends a non-repeatable request to the instance that holds its claim. The response is a
+// Result.
 type Forward struct {
 	HolderInstance    string `json:"holder_instance"`
 	HolderIncarnation uint64 `json:"holder_incarnation"`
 	Pipeline          string `json:"pipeline"`
-	// DeadlineMs is the time left, in milliseconds.
+	// DeadlineMs is the remaining time, in milliseconds.
 	DeadlineMs int64 `json:"deadline_ms"`
-	// Call is the request without its input, which is in Input as it came: a JSON
-	// value would lose its blanks on the way.
+	// Call is the request without its input. Input holds the original bytes, because a JSON value
+	// would lose its whitespace.
 	Call  Call   `json:"call"`
 	Input []byte `json:"input"`
 }
 
-// InstanceStatus answers MethodStatus.
+// InstanceStatus is the response to MethodStatus.
 type InstanceStatus struct {
 	Instance      string `json:"instance"`
 	FailureDomain string `json:"failure_domain"`
@@ -73,24 +74,24 @@
 	Stopping      bool   `json:"stopping"`
 }
 
-// TimelineSelect asks for events; empty fields select all.
+// TimelineSelect selects events. An empty field matches all events.
 type TimelineSelect struct {
 	Request  string `json:"request,omitempty"`
 	Change   string `json:"change,omitempty"`
 	Endpoint string `json:"endpoint,omitempty"`
-	// Limit is the greatest number of events, the newest ones.
+	// Limit is the maximum number of events. The newest ones are returned.
 	Limit int `json:"limit"`
 }
 
-// TimelineEvents answers it.
+// TimelineEvents is the response to a TimelineSelect.
 type TimelineEvents struct {
 	Instance string  `json:"instance"`
 	Events   []Event `json:"events"`
-	// Dropped is how many older events the instance no longer has.
+	// Dropped is the number of older events that the instance has discarded.
 	Dropped uint64 `json:"dropped"`
 }
 
-// Event is one event of the time line.
+// Event is a timeline event.
 type Event struct {
 	WallMs   int64  `json:"wall_ms"`
 	Logical  uint32 `json:"logical"`
@@ -104,102 +105,102 @@
 	Detail   string `json:"detail,omitempty"`
 }
 
-// StateSelect asks for what an instance knows of the endpoints, if it knows
-// more than a revision; the answer is a Known.
+// StateSelect requests the known endpoints if their revision is newer than NewerThan. The response
+// is a Known.
 type StateSelect struct {
 	NewerThan uint64 `json:"newer_than"`
-	// Packs says that the asker reads packed endpoints.
+	// Packs is set if the caller accepts packed endpoints.
 	Packs bool `json:"packs,omitempty"`
 }
 
-// Known answers StateSelect.
+// Known is the response to a StateSelect.
 type Known struct {
 	discovery.Known
-	// PackedEndpoints are the endpoints of the state as JSON, compressed with gzip, if they are not told
-	// there.
+	// PackedEndpoints holds the endpoints of the state as gzip-compressed JSON, if they are not
+	// included there.
 	PackedEndpoints []byte `json:"packed_endpoints,omitempty"`
 }
 
-// RelaySelect asks for what a relay knows beyond what the asker has, and waits for it; the
-// answer is a Relayed.
+// RelaySelect waits for changes that the caller does not have yet. The response is a Relayed.
 type RelaySelect struct {
-	// Since is the revision of the endpoints, Document that of the newest document heard of.
+	// Since is the caller's revision of the endpoints; Document, that of the newest document it
+	// knows of.
 	Since    uint64 `json:"since"`
 	Document uint64 `json:"document"`
-	// Evacuations are those that the asker knows of; a version that does not tell them is not woken
-	// for them.
+	// Evacuations are those known to the caller. Changes of evacuations do not end the wait if the
+	// caller's version does not send the field.
 	Evacuations fleet.Evacuations `json:"evacuations,omitzero"`
-	// Rollouts are told as evacuations are.
+	// Rollouts are those known to the caller, with the same rule as Evacuations.
 	Rollouts fleet.Rollouts `json:"rollouts,omitzero"`
-	// WaitMs is how long to wait, in milliseconds.
+	// WaitMs is the longest time to wait, in milliseconds.
 	WaitMs int64 `json:"wait_ms"`
-	// Packs says that the asker reads packed changes.
+	// Packs is set if the caller accepts packed changes.
 	Packs bool `json:"packs,omitempty"`
 }
 
-// Relayed answers RelaySelect.
+// Relayed is the response to a RelaySelect.
 type Relayed struct {
 	discovery.Relayed
-	// PackedChanges are the changes of endpoints as JSON, compressed with gzip, if they are not told
+	// PackedChanges holds the endpoint changes as gzip-compressed JSON, if they are not included
 	// there.
 	PackedChanges []byte `json:"packed_changes,omitempty"`
 }
 
-// Run has the stages of a plan made; the answer is Ran.
+// Run executes the stages of a plan. The response is a Ran.
 type Run struct {
-	// Call names the call for MethodCancel; unique among all callers.
+	// Call identifies the call for MethodCancel. It is unique among all callers.
 	Call string        `json:"call"`
 	Part pipeline.Part `json:"part"`
 	Plan pipeline.Plan `json:"plan"`
-	// DueMs and DeadlineMs are the plan's times as times left, in milliseconds.
+	// DueMs and DeadlineMs are the plan's times relative to now, in milliseconds.
 	DueMs      int64 `json:"due_ms"`
 	DeadlineMs int64 `json:"deadline_ms"`
-	// From is the peer address that is told of the plan's progress; empty: none.
+	// From is the peer address to which progress is reported. Optional.
 	From string `json:"from,omitempty"`
-	// Known is who owns the part as far as the caller knows; it does not reach that one if it
-	// calls another. A version that does not tell it asks the owner by rank.
+	// Known is the owner of the part as known to the caller. The caller cannot reach that owner if
+	// it calls another instance. Older versions do not set it and select the owner by rank.
 	Known ownership.Claim `json:"known"`
-	// Relayed says that the plan comes from an instance that does not reach the owner, over one
-	// that does.
+	// Relayed is set if the caller cannot reach the owner and sends the plan through an instance
+	// that can.
 	Relayed bool `json:"relayed,omitempty"`
-	// Division is the one that the caller goes by; its term is 0 if none is agreed on. A version
-	// that does not tell it counts the endpoints for itself.
+	// Division is the division that the caller uses; its term is 0 if none has been agreed. Older
+	// versions do not set it and count the endpoints themselves.
 	Division ownership.Division `json:"division,omitzero"`
 }
 
-// Ran answers MethodRun.
+// Ran is the response to MethodRun.
 type Ran struct {
 	pipeline.Outcome
-	// Owner is who owns the part as far as the one asked knows.
+	// Owner is the owner of the part as known to the called instance.
 	Owner ownership.Claim `json:"owner"`
-	// Division is the one that holds against the caller's; the zero one if the caller's holds.
+	// Division is the division that supersedes the caller's; zero if the caller's is current.
 	Division ownership.Division `json:"division,omitzero"`
 }
 
-// Progress tells of a stage of a plan that is made. It has no answer.
+// Progress reports a completed stage of a plan. It has no response.
 type Progress struct {
 	Call    string         `json:"call"`
 	Stage   int            `json:"stage"`
 	Results []batch.Result `json:"results"`
 }
 
-// Take hands a part over. It has an empty answer.
+// Take transfers a part to another owner. The response is empty.
 type Take struct {
 	Claim  ownership.Claim `json:"claim"`
 	Ledger pipeline.Ledger `json:"ledger"`
 }
 
-// Cancel gives a call of MethodRun up. It has no answer.
+// Cancel cancels a call of MethodRun. It has no response.
 type Cancel struct {
 	Call string `json:"call"`
 }
 
-// ReaderFailed names an endpoint at which a request failed. It has no answer.
+// ReaderFailed reports an endpoint at which a request failed. It has no response.
 type ReaderFailed struct {
 	Endpoint string `json:"endpoint"`
 }
 
-// Free gives results up. It has no answer.
+// Free releases results. It has no response.
 type Free struct {
 	Results []batch.Result `json:"results"`
 }
