--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -113,8 +113,8 @@
 	Packs bool `json:"packs,omitempty"`
 }
 
-// Known is the response to a StateSelect.
-type Known struct {
+// StateResponse is the response to a StateSelect.
+type StateResponse struct {
 	discovery.Known
 	// PackedEndpoints holds the endpoints of the state as gzip-compressed JSON, if they are not
 	// included there.
--- a/service/handover/packing.go
+++ b/service/handover/packing.go
@@ -42,8 +42,8 @@
 }
 
 // state returns the answer with all endpoints.
-func (p *packing) state(known discovery.Known, packs bool) api.Known {
-	answer := api.Known{Known: known}
+func (p *packing) state(known discovery.Known, packs bool) api.StateResponse {
+	answer := api.StateResponse{Known: known}
 	if !packs || len(known.State.Endpoints) < packedFrom {
 		return answer
 	}
