--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -105,9 +105,9 @@
 	Detail   string `json:"detail,omitempty"`
 }
 
-// StateSelect requests the known endpoints if their revision is newer than NewerThan. The response
+// StateRequest requests the known endpoints if their revision is newer than NewerThan. The response
 // is a Known.
-type StateSelect struct {
+type StateRequest struct {
 	NewerThan uint64 `json:"newer_than"`
 	// Packs is set if the caller accepts packed endpoints.
 	Packs bool `json:"packs,omitempty"`
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -132,7 +132,7 @@
 		}
 		return h.permits.HandleRequest(call), nil
 	case api.MethodState:
-		call, err := peers.Params[api.StateSelect](method, raw)
+		call, err := peers.Params[api.StateRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
