--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -121,8 +121,8 @@
 	PackedEndpoints []byte `json:"packed_endpoints,omitempty"`
 }
 
-// RelaySelect waits for changes that the caller does not have yet. The response is a Relayed.
-type RelaySelect struct {
+// RelayRequest waits for changes that the caller does not have yet. The response is a Relayed.
+type RelayRequest struct {
 	// Since is the caller's revision of the endpoints; Document, that of the newest document it
 	// knows of.
 	Since    uint64 `json:"since"`
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -106,7 +106,7 @@
 		h.planner.ReaderFailed(call.Endpoint)
 		return struct{}{}, nil
 	case api.MethodFollow:
-		call, err := peers.Params[api.RelaySelect](method, raw)
+		call, err := peers.Params[api.RelayRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
