--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -138,8 +138,8 @@
 	Packs bool `json:"packs,omitempty"`
 }
 
-// Relayed is the response to a RelaySelect.
-type Relayed struct {
+// RelayResponse is the response to a RelaySelect.
+type RelayResponse struct {
 	discovery.Relayed
 	// PackedChanges holds the endpoint changes as gzip-compressed JSON, if they are not included
 	// there.
--- a/service/handover/packing.go
+++ b/service/handover/packing.go
@@ -55,8 +55,8 @@
 }
 
 // changes returns the answer with the changes since a revision.
-func (p *packing) changes(since uint64, told discovery.Relayed, packs bool) api.Relayed {
-	answer := api.Relayed{Relayed: told}
+func (p *packing) changes(since uint64, told discovery.Relayed, packs bool) api.RelayResponse {
+	answer := api.RelayResponse{Relayed: told}
 	if !packs || len(told.Changes.Endpoints) < packedFrom {
 		return answer
 	}
--- a/service/handover/packing_test.go
+++ b/service/handover/packing_test.go
@@ -90,9 +90,9 @@
 
 	It("are told plainly to a version that does not read them, and where there are few", func() {
 		Expect(p.state(known, false)).To(Equal(api.StateResponse{Known: known}))
-		Expect(p.changes(5, relayed, false)).To(Equal(api.Relayed{Relayed: relayed}))
+		Expect(p.changes(5, relayed, false)).To(Equal(api.RelayResponse{Relayed: relayed}))
 		few := discovery.Relayed{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many[:packedFrom-1])}}
-		Expect(p.changes(5, few, true)).To(Equal(api.Relayed{Relayed: few}))
+		Expect(p.changes(5, few, true)).To(Equal(api.RelayResponse{Relayed: few}))
 	})
 
 	It("that are damaged are a problem, and nothing that a peer is believed", func() {
