--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -74,8 +74,8 @@
 	Stopping      bool   `json:"stopping"`
 }
 
-// TimelineSelect selects events. An empty field matches all events.
-type TimelineSelect struct {
+// TimelineRequest selects events. An empty field matches all events.
+type TimelineRequest struct {
 	Request  string `json:"request,omitempty"`
 	Change   string `json:"change,omitempty"`
 	Endpoint string `json:"endpoint,omitempty"`
--- a/service/operators/operators.go
+++ b/service/operators/operators.go
@@ -46,7 +46,7 @@
 // Peers calls other instances.
 type Peers interface {
 	Status(ctx context.Context, address string) (api.InstanceStatus, error)
-	Timeline(ctx context.Context, address string, selection api.TimelineSelect) (api.TimelineEvents, error)
+	Timeline(ctx context.Context, address string, selection api.TimelineRequest) (api.TimelineEvents, error)
 }
 
 // Options configures a Handler.
@@ -59,7 +59,7 @@
 	PlatformReachable func() bool
 	// OwnStatus and Select return the status and timeline of this instance.
 	OwnStatus    func() api.InstanceStatus
-	SelectEvents func(api.TimelineSelect) api.TimelineEvents
+	SelectEvents func(api.TimelineRequest) api.TimelineEvents
 	Peers        Peers
 	Clock        clockwork.Clock
 	Ring         *timeline.Ring
@@ -235,7 +235,7 @@
 
 // Timeline implements cobaltcroftv1connect.OperatorsHandler.
 func (s *Handler) Timeline(ctx context.Context, req *connect.Request[pb.TimelineRequest]) (*connect.Response[pb.TimelineResponse], error) {
-	selection := api.TimelineSelect{Request: req.Msg.RequestId, Change: req.Msg.ChangeId, Endpoint: req.Msg.Endpoint, Limit: int(req.Msg.Limit)}
+	selection := api.TimelineRequest{Request: req.Msg.RequestId, Change: req.Msg.ChangeId, Endpoint: req.Msg.Endpoint, Limit: int(req.Msg.Limit)}
 	members := s.Control.Members()
 	responses := make([]api.TimelineEvents, len(members)+1)
 	gaps := make([]string, len(members))
--- a/service/peers/client.go
+++ b/service/peers/client.go
@@ -91,7 +91,7 @@
 }
 
 // Timeline asks a peer for events.
-func (c *Client) Timeline(ctx context.Context, address string, selection api.TimelineSelect) (api.TimelineEvents, error) {
+func (c *Client) Timeline(ctx context.Context, address string, selection api.TimelineRequest) (api.TimelineEvents, error) {
 	var events api.TimelineEvents
 	err := c.Call(ctx, address, api.MethodTimeline, selection, &events)
 	return events, err
--- a/service/peers/server.go
+++ b/service/peers/server.go
@@ -207,7 +207,7 @@
 	case api.MethodStatus:
 		return h.Backend.Status(), nil
 	case api.MethodTimeline:
-		selection, err := Params[api.TimelineSelect](method, raw)
+		selection, err := Params[api.TimelineRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
@@ -231,7 +231,7 @@
 }
 
 // Select answers a selection from one instance's ring.
-func Select(ring *timeline.Ring, instance string, selection api.TimelineSelect) api.TimelineEvents {
+func Select(ring *timeline.Ring, instance string, selection api.TimelineRequest) api.TimelineEvents {
 	events, dropped := ring.Select(timeline.Filter{Request: selection.Request, Change: selection.Change, Endpoint: selection.Endpoint})
 	limit := selection.Limit
 	if limit <= 0 || limit > maxEvents {
