--- a/cmd/cobaltcroftd/daemon/faces.go
+++ b/cmd/cobaltcroftd/daemon/faces.go
@@ -250,7 +250,7 @@
 		Control:           trafficService.control.Control,
 		PlatformReachable: trafficService.config.follower.Reached,
 		OwnStatus:         trafficService.Status,
-		SelectEvents: func(selection api.TimelineRequest) api.TimelineEvents {
+		SelectEvents: func(selection api.TimelineRequest) api.TimelineResponse {
 			return peers.Select(b.ring, b.settings.Instance, selection)
 		},
 		Peers: peersService.client,
--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -83,8 +83,8 @@
 	Limit int `json:"limit"`
 }
 
-// TimelineEvents is the response to a TimelineSelect.
-type TimelineEvents struct {
+// TimelineResponse is the response to a TimelineSelect.
+type TimelineResponse struct {
 	Instance string  `json:"instance"`
 	Events   []Event `json:"events"`
 	// Dropped is the number of older events that the instance has discarded.
--- a/service/operators/operators.go
+++ b/service/operators/operators.go
@@ -46,7 +46,7 @@
 // Peers calls other instances.
 type Peers interface {
 	Status(ctx context.Context, address string) (api.InstanceStatus, error)
-	Timeline(ctx context.Context, address string, selection api.TimelineRequest) (api.TimelineEvents, error)
+	Timeline(ctx context.Context, address string, selection api.TimelineRequest) (api.TimelineResponse, error)
 }
 
 // Options configures a Handler.
@@ -59,7 +59,7 @@
 	PlatformReachable func() bool
 	// OwnStatus and Select return the status and timeline of this instance.
 	OwnStatus    func() api.InstanceStatus
-	SelectEvents func(api.TimelineRequest) api.TimelineEvents
+	SelectEvents func(api.TimelineRequest) api.TimelineResponse
 	Peers        Peers
 	Clock        clockwork.Clock
 	Ring         *timeline.Ring
@@ -237,7 +237,7 @@
 func (s *Handler) Timeline(ctx context.Context, req *connect.Request[pb.TimelineRequest]) (*connect.Response[pb.TimelineResponse], error) {
 	selection := api.TimelineRequest{Request: req.Msg.RequestId, Change: req.Msg.ChangeId, Endpoint: req.Msg.Endpoint, Limit: int(req.Msg.Limit)}
 	members := s.Control.Members()
-	responses := make([]api.TimelineEvents, len(members)+1)
+	responses := make([]api.TimelineResponse, len(members)+1)
 	gaps := make([]string, len(members))
 	responses[len(members)] = s.SelectEvents(selection)
 	s.forEachPeer(ctx, members, func(ctx context.Context, i int) {
@@ -267,7 +267,7 @@
 	return connect.NewResponse(resp), nil
 }
 
-func convertEvents(response api.TimelineEvents) []timeline.Event {
+func convertEvents(response api.TimelineResponse) []timeline.Event {
 	events := make([]timeline.Event, 0, len(response.Events))
 	for _, e := range response.Events {
 		events = append(events, convert.EventFrom(e))
--- a/service/peers/client.go
+++ b/service/peers/client.go
@@ -91,8 +91,8 @@
 }
 
 // Timeline asks a peer for events.
-func (c *Client) Timeline(ctx context.Context, address string, selection api.TimelineRequest) (api.TimelineEvents, error) {
-	var events api.TimelineEvents
+func (c *Client) Timeline(ctx context.Context, address string, selection api.TimelineRequest) (api.TimelineResponse, error) {
+	var events api.TimelineResponse
 	err := c.Call(ctx, address, api.MethodTimeline, selection, &events)
 	return events, err
 }
--- a/service/peers/server.go
+++ b/service/peers/server.go
@@ -231,14 +231,14 @@
 }
 
 // Select answers a selection from one instance's ring.
-func Select(ring *timeline.Ring, instance string, selection api.TimelineRequest) api.TimelineEvents {
+func Select(ring *timeline.Ring, instance string, selection api.TimelineRequest) api.TimelineResponse {
 	events, dropped := ring.Select(timeline.Filter{Request: selection.Request, Change: selection.Change, Endpoint: selection.Endpoint})
 	limit := selection.Limit
 	if limit <= 0 || limit > maxEvents {
 		limit = maxEvents
 	}
 	events = events[max(0, len(events)-limit):]
-	answer := api.TimelineEvents{Instance: instance, Dropped: dropped}
+	answer := api.TimelineResponse{Instance: instance, Dropped: dropped}
 	for _, e := range events {
 		answer.Events = append(answer.Events, convert.Event(e))
 	}
