--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -146,8 +146,8 @@
 	PackedChanges []byte `json:"packed_changes,omitempty"`
 }
 
-// Run executes the stages of a plan. The response is a Ran.
-type Run struct {
+// RunRequest executes the stages of a plan. The response is a Ran.
+type RunRequest struct {
 	// Call identifies the call for MethodCancel. It is unique among all callers.
 	Call string        `json:"call"`
 	Part pipeline.Part `json:"part"`
--- a/service/handover/failures_test.go
+++ b/service/handover/failures_test.go
@@ -69,7 +69,7 @@
 		slow := slowPieces{begin: make(chan struct{})}
 		planner := pipeline.NewPlanner(slow, clock, metrics.NewSet(), logging.Discard().For("pipeline"))
 		h := NewHandler(routerOf(planner, clock), nil, nil, nil)
-		call := api.Run{Call: "c", Part: pipeline.Part{Of: 1}, DueMs: 10_000, DeadlineMs: 10_000}
+		call := api.RunRequest{Call: "c", Part: pipeline.Part{Of: 1}, DueMs: 10_000, DeadlineMs: 10_000}
 		call.Plan.Stages = []pipeline.Stage{{Service: "s", Pieces: 1}}
 		done := make(chan struct{})
 		go func() {
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -63,7 +63,7 @@
 func (h *Handler) Answer(ctx context.Context, method string, raw json.RawMessage) (any, error) {
 	switch method {
 	case api.MethodRun:
-		call, err := peers.Params[api.Run](method, raw)
+		call, err := peers.Params[api.RunRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
@@ -143,7 +143,7 @@
 
 // run has stages made until the caller cancels or its connection breaks. What was made
 // until then is freed.
-func (h *Handler) run(ctx context.Context, call api.Run) (api.Ran, error) {
+func (h *Handler) run(ctx context.Context, call api.RunRequest) (api.Ran, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	h.mu.Lock()
--- a/service/handover/instance_test.go
+++ b/service/handover/instance_test.go
@@ -472,7 +472,7 @@
 	if method != api.MethodRun {
 		return a.Handler.Answer(ctx, method, raw)
 	}
-	call, err := peers.Params[api.Run](method, raw)
+	call, err := peers.Params[api.RunRequest](method, raw)
 	if err != nil {
 		return nil, err
 	}
--- a/service/handover/regions_test.go
+++ b/service/handover/regions_test.go
@@ -30,7 +30,7 @@
 	if method != api.MethodRun {
 		return nil
 	}
-	call := params.(api.Run)
+	call := params.(api.RunRequest)
 	region := r.regions.Of(call.Part)
 	r.asked, r.told = append(r.asked, region), append(r.told, address)
 	if r.busy[region] {
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -254,7 +254,7 @@
 // serve has the stages of another instance's plan made: here if this instance owns the part, or
 // is to own it since the owner is not reached. Where another owns it, or the caller goes by an
 // older division, the answer says so.
-func (r *Router) serve(ctx context.Context, call api.Run) (api.Ran, error) {
+func (r *Router) serve(ctx context.Context, call api.RunRequest) (api.Ran, error) {
 	part, plan := call.Part, call.Plan
 	r.divisions.hear(call.Division, "told_with_plan")
 	if division := r.divisions.agreed(); call.Division.Parts > 0 && part.Of != division.Parts && division.Beats(call.Division) {
@@ -284,7 +284,7 @@
 
 // answer is an outcome with who owns the part now, and the division that holds if the caller does
 // not go by it.
-func (r *Router) answer(call api.Run, outcome pipeline.Outcome) api.Ran {
+func (r *Router) answer(call api.RunRequest, outcome pipeline.Outcome) api.Ran {
 	holder, _ := r.claims.holder(call.Part)
 	outcome.Completed = withTimesLeft(outcome.Completed, r.clock.Now())
 	ran := api.Ran{Outcome: outcome, Owner: holder}
@@ -298,7 +298,7 @@
 // outcome then has what it told to be made.
 func (r *Router) handOver(ctx context.Context, address string, part pipeline.Part, plan pipeline.Plan, relayed bool) (pipeline.Outcome, error) {
 	now := r.clock.Now()
-	call := api.Run{Call: uuid.NewString(), Part: part, Plan: plan, DueMs: plan.Due.Sub(now).Milliseconds(), DeadlineMs: plan.Deadline.Sub(now).Milliseconds(), Relayed: relayed}
+	call := api.RunRequest{Call: uuid.NewString(), Part: part, Plan: plan, DueMs: plan.Due.Sub(now).Milliseconds(), DeadlineMs: plan.Deadline.Sub(now).Milliseconds(), Relayed: relayed}
 	call.Plan.Completed = withTimesLeft(plan.Completed, now)
 	call.Known, _ = r.claims.holder(part)
 	call.From = r.owners.self.PeerAddress
