--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -168,8 +168,8 @@
 	Division ownership.Division `json:"division,omitzero"`
 }
 
-// Ran is the response to MethodRun.
-type Ran struct {
+// RunResponse is the response to MethodRun.
+type RunResponse struct {
 	pipeline.Outcome
 	// Owner is the owner of the part as known to the called instance.
 	Owner ownership.Claim `json:"owner"`
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -143,7 +143,7 @@
 
 // run has stages made until the caller cancels or its connection breaks. What was made
 // until then is freed.
-func (h *Handler) run(ctx context.Context, call api.RunRequest) (api.Ran, error) {
+func (h *Handler) run(ctx context.Context, call api.RunRequest) (api.RunResponse, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	h.mu.Lock()
--- a/service/handover/regions_test.go
+++ b/service/handover/regions_test.go
@@ -34,7 +34,7 @@
 	region := r.regions.Of(call.Part)
 	r.asked, r.told = append(r.asked, region), append(r.told, address)
 	if r.busy[region] {
-		result.(*api.Ran).Reason = pipeline.Busy
+		result.(*api.RunResponse).Reason = pipeline.Busy
 	}
 	return nil
 }
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -254,17 +254,17 @@
 // serve has the stages of another instance's plan made: here if this instance owns the part, or
 // is to own it since the owner is not reached. Where another owns it, or the caller goes by an
 // older division, the answer says so.
-func (r *Router) serve(ctx context.Context, call api.RunRequest) (api.Ran, error) {
+func (r *Router) serve(ctx context.Context, call api.RunRequest) (api.RunResponse, error) {
 	part, plan := call.Part, call.Plan
 	r.divisions.hear(call.Division, "told_with_plan")
 	if division := r.divisions.agreed(); call.Division.Parts > 0 && part.Of != division.Parts && division.Beats(call.Division) {
-		return api.Ran{Outcome: pipeline.Outcome{Reason: batch.Moved, Completed: plan.Completed}, Division: division}, nil
+		return api.RunResponse{Outcome: pipeline.Outcome{Reason: batch.Moved, Completed: plan.Completed}, Division: division}, nil
 	}
 	r.claims.hear([]ownership.Claim{call.Known}, "told_with_plan")
 	holder, known := r.claims.holder(part)
 	if known && !r.claims.owns(part) && r.owners.reaches(holder.Owner) && !call.Relayed {
 		if holder != call.Known {
-			return api.Ran{Outcome: pipeline.Outcome{Reason: batch.Moved, Completed: plan.Completed}, Owner: holder}, nil
+			return api.RunResponse{Outcome: pipeline.Outcome{Reason: batch.Moved, Completed: plan.Completed}, Owner: holder}, nil
 		}
 		outcome, err := r.handOver(ctx, holder.Owner.PeerAddress, part, plan, true)
 		if err == nil {
@@ -274,7 +274,7 @@
 	}
 	if !r.claims.owns(part) {
 		if r.leavesOthers() {
-			return api.Ran{}, refuseLeaving("hand the plan to the next owner")
+			return api.RunResponse{}, refuseLeaving("hand the plan to the next owner")
 		}
 		r.claim(part, "asked_by_peer")
 		r.planner.Resume(part)
@@ -284,10 +284,10 @@
 
 // answer is an outcome with who owns the part now, and the division that holds if the caller does
 // not go by it.
-func (r *Router) answer(call api.RunRequest, outcome pipeline.Outcome) api.Ran {
+func (r *Router) answer(call api.RunRequest, outcome pipeline.Outcome) api.RunResponse {
 	holder, _ := r.claims.holder(call.Part)
 	outcome.Completed = withTimesLeft(outcome.Completed, r.clock.Now())
-	ran := api.Ran{Outcome: outcome, Owner: holder}
+	ran := api.RunResponse{Outcome: outcome, Owner: holder}
 	if division := r.divisions.agreed(); division.Beats(call.Division) {
 		ran.Division = division
 	}
@@ -304,7 +304,7 @@
 	call.From = r.owners.self.PeerAddress
 	call.Division = r.divisions.inForce()
 	r.progress.begin(call.Call, &plan)
-	var ran api.Ran
+	var ran api.RunResponse
 	err := r.client.Call(ctx, address, api.MethodRun, call, &ran)
 	made := r.progress.end(call.Call)
 	if ctx.Err() != nil {
--- a/service/handover/succession_test.go
+++ b/service/handover/succession_test.go
@@ -275,7 +275,7 @@
 		owner.pieces.finish()
 		var answer any
 		Eventually(done).Should(Receive(&answer))
-		Expect(answer.(api.Ran).Results).To(HaveLen(1))
+		Expect(answer.(api.RunResponse).Results).To(HaveLen(1))
 		Expect(owner.router.claims.owns(whole)).To(BeTrue())
 	})
 
