--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -51,9 +51,9 @@
 	From uint64 `json:"from"`
 }
 
-// Forward sends a non-repeatable request to the instance that holds its claim. The response is a
+// ForwardRequest sends a non-repeatable request to the instance that holds its claim. The response is a
 // Result.
-type Forward struct {
+type ForwardRequest struct {
 	HolderInstance    string `json:"holder_instance"`
 	HolderIncarnation uint64 `json:"holder_incarnation"`
 	Pipeline          string `json:"pipeline"`
--- a/service/peers/client.go
+++ b/service/peers/client.go
@@ -67,7 +67,7 @@
 
 // Forward implements once.Forwarder.
 func (c *Client) Forward(ctx context.Context, holder atmostonce.Holder, r request.Request) (request.Result, error) {
-	forward := api.Forward{
+	forward := api.ForwardRequest{
 		HolderInstance:    holder.Instance,
 		HolderIncarnation: holder.Incarnation,
 		Pipeline:          r.Pipeline,
--- a/service/peers/server.go
+++ b/service/peers/server.go
@@ -199,7 +199,7 @@
 		}
 		return h.Backend.Since(pull.From)
 	case api.MethodForward:
-		forward, err := Params[api.Forward](method, raw)
+		forward, err := Params[api.ForwardRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
@@ -221,7 +221,7 @@
 	return problem.New(problem.NotFound, "run one version of the program", "no method %q", method)
 }
 
-func (h InstanceHandler) forward(ctx context.Context, f api.Forward) api.Result {
+func (h InstanceHandler) forward(ctx context.Context, f api.ForwardRequest) api.Result {
 	f.Call.Input = f.Input
 	r := convert.Request(f.Call, f.Pipeline, time.Now(), time.Duration(f.DeadlineMs)*time.Millisecond)
 	holder := atmostonce.Holder{Instance: f.HolderInstance, Incarnation: f.HolderIncarnation}
