--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -46,8 +46,8 @@
 	Instance string `json:"instance"`
 }
 
-// Pull requests the configuration changes after a revision. The response is a config.Update.
-type Pull struct {
+// PullRequest requests the configuration changes after a revision. The response is a config.Update.
+type PullRequest struct {
 	From uint64 `json:"from"`
 }
 
--- a/service/peers/server.go
+++ b/service/peers/server.go
@@ -193,7 +193,7 @@
 func (h InstanceHandler) Answer(ctx context.Context, method string, raw json.RawMessage) (any, error) {
 	switch method {
 	case api.MethodPull:
-		pull, err := Params[api.Pull](method, raw)
+		pull, err := Params[api.PullRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
