--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -184,8 +184,8 @@
 	Results []batch.Result `json:"results"`
 }
 
-// Take transfers a part to another owner. The response is empty.
-type Take struct {
+// TransferRequest transfers a part to another owner. The response is empty.
+type TransferRequest struct {
 	Claim  ownership.Claim `json:"claim"`
 	Ledger pipeline.Ledger `json:"ledger"`
 }
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -79,7 +79,7 @@
 		results := withTimes([][]batch.Result{call.Results}, h.clock.Now())[0]
 		return struct{}{}, h.router.progress.stageMade(call.Call, call.Stage, results)
 	case api.MethodTake:
-		call, err := peers.Params[api.Take](method, raw)
+		call, err := peers.Params[api.TransferRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
--- a/service/handover/succession_test.go
+++ b/service/handover/succession_test.go
@@ -217,7 +217,7 @@
 		first := all.ownerOf(all[0], "r1")
 		leaving := all.others(first)[0]
 		leaving.router.owners.leave()
-		call := api.Take{Claim: ownership.Claim{Part: whole, Term: 9, Owner: leaving.self.Owner()}}
+		call := api.TransferRequest{Claim: ownership.Claim{Part: whole, Term: 9, Owner: leaving.self.Owner()}}
 		Expect(leaving.router.take(call)).To(MatchError(ContainSubstring("leaving")))
 		Expect(leaving.router.claims.owns(whole)).To(BeFalse())
 		for range 3 {
@@ -286,7 +286,7 @@
 			{Part: ownership.Part{Number: 3, Of: 1}, Term: 9, Owner: owner.self.Owner()},
 			{Part: whole, Term: 0, Owner: all.others(owner)[0].self.Owner()},
 		} {
-			Expect(owner.router.take(api.Take{Claim: claim})).To(MatchError(ContainSubstring("is not this instance's")))
+			Expect(owner.router.take(api.TransferRequest{Claim: claim})).To(MatchError(ContainSubstring("is not this instance's")))
 		}
 		Expect(owner.router.Claims()).To(Equal(before))
 	})
