--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -29,8 +29,8 @@
 	MethodReaderFailed = "pipeline.reader_failed"
 	// MethodProgress reports a completed stage to the instance that delegated the plan.
 	MethodProgress = "pipeline.progress"
-	// MethodTake transfers a part to its next owner.
-	MethodTake = "pipeline.take"
+	// MethodTransfer transfers a part to its next owner.
+	MethodTransfer = "pipeline.take"
 	// MethodRollout sends a rollout.Report to the conductor, which responds with a
 	// rollout.Instruction. Older versions respond that the method is unknown.
 	MethodRollout = "rollout.report"
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -78,7 +78,7 @@
 		}
 		results := withTimes([][]batch.Result{call.Results}, h.clock.Now())[0]
 		return struct{}{}, h.router.progress.stageMade(call.Call, call.Stage, results)
-	case api.MethodTake:
+	case api.MethodTransfer:
 		call, err := peers.Params[api.TransferRequest](method, raw)
 		if err != nil {
 			return nil, err
--- a/service/handover/succession.go
+++ b/service/handover/succession.go
@@ -80,7 +80,7 @@
 func (r *Router) give(claim ownership.Claim, ledger pipeline.Ledger) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), takeTimeout)
 	defer cancel()
-	err := r.client.Call(ctx, claim.Owner.PeerAddress, api.MethodTake, api.TransferRequest{Claim: claim, Ledger: ledger}, &struct{}{})
+	err := r.client.Call(ctx, claim.Owner.PeerAddress, api.MethodTransfer, api.TransferRequest{Claim: claim, Ledger: ledger}, &struct{}{})
 	fields := logrus.Fields{"event": "part_given", "part": claim.Part.Number, "term": claim.Term, "to": claim.Owner.Name, "endpoints": len(ledger.Pieces.Endpoints)}
 	if err != nil {
 		if !peers.Answered(err) {
