--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -200,7 +200,7 @@
 	Endpoint string `json:"endpoint"`
 }
 
-// Free releases results. It has no response.
-type Free struct {
+// FreeRequest releases results. It has no response.
+type FreeRequest struct {
 	Results []batch.Result `json:"results"`
 }
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -92,7 +92,7 @@
 		h.cancel(call.Call)
 		return struct{}{}, nil
 	case api.MethodFree:
-		call, err := peers.Params[api.Free](method, raw)
+		call, err := peers.Params[api.FreeRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -387,7 +387,7 @@
 func (r *Router) freeAt(address string, results []batch.Result) {
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
-	if err := r.client.Notify(ctx, address, api.MethodFree, api.Free{Results: results}); err != nil {
+	if err := r.client.Notify(ctx, address, api.MethodFree, api.FreeRequest{Results: results}); err != nil {
 		r.makers.Free(results)
 	}
 }
