--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -190,8 +190,8 @@
 	Ledger pipeline.Ledger `json:"ledger"`
 }
 
-// Cancel cancels a call of MethodRun. It has no response.
-type Cancel struct {
+// CancelRequest cancels a call of MethodRun. It has no response.
+type CancelRequest struct {
 	Call string `json:"call"`
 }
 
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -85,7 +85,7 @@
 		}
 		return struct{}{}, h.router.take(call)
 	case api.MethodCancel:
-		call, err := peers.Params[api.Cancel](method, raw)
+		call, err := peers.Params[api.CancelRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -329,7 +329,7 @@
 func (r *Router) cancel(address, call string) {
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
-	if err := r.client.Notify(ctx, address, api.MethodCancel, api.Cancel{Call: call}); err != nil {
+	if err := r.client.Notify(ctx, address, api.MethodCancel, api.CancelRequest{Call: call}); err != nil {
 		r.log.WithFields(logrus.Fields{"event": "cancel_not_sent", "owner": address}).Debug(err)
 	}
 }
