--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -157,9 +157,9 @@
 	DeadlineMs int64 `json:"deadline_ms"`
 	// From is the peer address to which progress is reported. Optional.
 	From string `json:"from,omitempty"`
-	// Known is the owner of the part as known to the caller. The caller cannot reach that owner if
+	// Owner is the owner of the part as known to the caller. The caller cannot reach that owner if
 	// it calls another instance. Older versions do not set it and select the owner by rank.
-	Known ownership.Claim `json:"known"`
+	Owner ownership.Claim `json:"known"`
 	// Relayed is set if the caller cannot reach the owner and sends the plan through an instance
 	// that can.
 	Relayed bool `json:"relayed,omitempty"`
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -260,10 +260,10 @@
 	if division := r.divisions.agreed(); call.Division.Parts > 0 && part.Of != division.Parts && division.Beats(call.Division) {
 		return api.RunResponse{Outcome: pipeline.Outcome{Reason: batch.Moved, Completed: plan.Completed}, Division: division}, nil
 	}
-	r.claims.hear([]ownership.Claim{call.Known}, "told_with_plan")
+	r.claims.hear([]ownership.Claim{call.Owner}, "told_with_plan")
 	holder, known := r.claims.holder(part)
 	if known && !r.claims.owns(part) && r.owners.reaches(holder.Owner) && !call.Relayed {
-		if holder != call.Known {
+		if holder != call.Owner {
 			return api.RunResponse{Outcome: pipeline.Outcome{Reason: batch.Moved, Completed: plan.Completed}, Owner: holder}, nil
 		}
 		outcome, err := r.handOver(ctx, holder.Owner.PeerAddress, part, plan, true)
@@ -300,7 +300,7 @@
 	now := r.clock.Now()
 	call := api.RunRequest{Call: uuid.NewString(), Part: part, Plan: plan, DueMs: plan.Due.Sub(now).Milliseconds(), DeadlineMs: plan.Deadline.Sub(now).Milliseconds(), Relayed: relayed}
 	call.Plan.Completed = withTimesLeft(plan.Completed, now)
-	call.Known, _ = r.claims.holder(part)
+	call.Owner, _ = r.claims.holder(part)
 	call.From = r.owners.self.PeerAddress
 	call.Division = r.divisions.inForce()
 	r.progress.begin(call.Call, &plan)
