--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -155,8 +155,8 @@
 	// DueMs and DeadlineMs are the plan's times relative to now, in milliseconds.
 	DueMs      int64 `json:"due_ms"`
 	DeadlineMs int64 `json:"deadline_ms"`
-	// From is the peer address to which progress is reported. Optional.
-	From string `json:"from,omitempty"`
+	// ProgressAddress is the peer address to which progress is reported. Optional.
+	ProgressAddress string `json:"from,omitempty"`
 	// Owner is the owner of the part as known to the caller. The caller cannot reach that owner if
 	// it calls another instance. Older versions do not set it and select the owner by rank.
 	Owner ownership.Claim `json:"known"`
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -158,7 +158,7 @@
 	call.Plan.Due = now.Add(time.Duration(call.DueMs) * time.Millisecond)
 	call.Plan.Deadline = now.Add(time.Duration(call.DeadlineMs) * time.Millisecond)
 	call.Plan.Completed = withTimes(call.Plan.Completed, now)
-	call.Plan.Progress = h.router.tellProgress(call.From, call.Call)
+	call.Plan.Progress = h.router.tellProgress(call.ProgressAddress, call.Call)
 	return h.router.serve(ctx, call)
 }
 
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -301,7 +301,7 @@
 	call := api.RunRequest{Call: uuid.NewString(), Part: part, Plan: plan, DueMs: plan.Due.Sub(now).Milliseconds(), DeadlineMs: plan.Deadline.Sub(now).Milliseconds(), Relayed: relayed}
 	call.Plan.Completed = withTimesLeft(plan.Completed, now)
 	call.Owner, _ = r.claims.holder(part)
-	call.From = r.owners.self.PeerAddress
+	call.ProgressAddress = r.owners.self.PeerAddress
 	call.Division = r.divisions.inForce()
 	r.progress.begin(call.Call, &plan)
 	var ran api.RunResponse
