--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -48,7 +48,7 @@
 
 // PullRequest requests the configuration changes after a revision. The response is a config.Update.
 type PullRequest struct {
-	From uint64 `json:"from"`
+	AfterRevision uint64 `json:"from"`
 }
 
 // ForwardRequest sends a non-repeatable request to the instance that holds its claim. The response is a
--- a/service/peers/client.go
+++ b/service/peers/client.go
@@ -61,7 +61,7 @@
 // Pull implements config.Puller.
 func (c *Client) Pull(ctx context.Context, address string, from uint64) (config.Update, error) {
 	var update config.Update
-	err := c.Call(ctx, address, api.MethodPull, api.PullRequest{From: from}, &update)
+	err := c.Call(ctx, address, api.MethodPull, api.PullRequest{AfterRevision: from}, &update)
 	return update, err
 }
 
--- a/service/peers/server.go
+++ b/service/peers/server.go
@@ -197,7 +197,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return h.Backend.Since(pull.From)
+		return h.Backend.Since(pull.AfterRevision)
 	case api.MethodForward:
 		forward, err := Params[api.ForwardRequest](method, raw)
 		if err != nil {
