--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -125,8 +125,8 @@
 type RelayRequest struct {
 	// Since is the caller's revision of the endpoints; Document, that of the newest document it
 	// knows of.
-	Since    uint64 `json:"since"`
-	Document uint64 `json:"document"`
+	Since            uint64 `json:"since"`
+	DocumentRevision uint64 `json:"document"`
 	// Evacuations are those known to the caller. Changes of evacuations do not end the wait if the
 	// caller's version does not send the field.
 	Evacuations fleet.Evacuations `json:"evacuations,omitzero"`
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -111,7 +111,7 @@
 			return nil, err
 		}
 		wait := min(maxRelayWait, time.Duration(call.WaitMs)*time.Millisecond)
-		told := h.follower.Relay(discovery.RelaySelect{Since: call.Since, Document: call.Document, Evacuations: call.Evacuations, Rollouts: call.Rollouts, Wait: wait})
+		told := h.follower.Relay(discovery.RelaySelect{Since: call.Since, Document: call.DocumentRevision, Evacuations: call.Evacuations, Rollouts: call.Rollouts, Wait: wait})
 		return h.packing.changes(call.Since, told, call.Packs), nil
 	case api.MethodPiece:
 		call, err := peers.Params[discovery.PieceSelect](method, raw)
