--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -109,8 +109,8 @@
 // is a Known.
 type StateRequest struct {
 	NewerThan uint64 `json:"newer_than"`
-	// Packs is set if the caller accepts packed endpoints.
-	Packs bool `json:"packs,omitempty"`
+	// AcceptsPacked is set if the caller accepts packed endpoints.
+	AcceptsPacked bool `json:"packs,omitempty"`
 }
 
 // StateResponse is the response to a StateSelect.
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -136,7 +136,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return h.packing.state(h.follower.Known(call.NewerThan), call.Packs), nil
+		return h.packing.state(h.follower.Known(call.NewerThan), call.AcceptsPacked), nil
 	}
 	return nil, peers.UnknownMethod(method)
 }
--- a/service/handover/knowledge.go
+++ b/service/handover/knowledge.go
@@ -49,7 +49,7 @@
 		return discovery.Known{}, problem.New(problem.Unavailable, "name some peers in the settings", "no peer is known")
 	}
 	var known api.StateResponse
-	err := k.Client.Call(ctx, addresses[rand.IntN(len(addresses))], api.MethodState, api.StateRequest{NewerThan: newerThan, Packs: true}, &known)
+	err := k.Client.Call(ctx, addresses[rand.IntN(len(addresses))], api.MethodState, api.StateRequest{NewerThan: newerThan, AcceptsPacked: true}, &known)
 	if err == nil {
 		err = unpack(known.PackedEndpoints, &known.State.Endpoints)
 	}
