--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -134,8 +134,8 @@
 	Rollouts fleet.Rollouts `json:"rollouts,omitzero"`
 	// WaitMs is the longest time to wait, in milliseconds.
 	WaitMs int64 `json:"wait_ms"`
-	// Packs is set if the caller accepts packed changes.
-	Packs bool `json:"packs,omitempty"`
+	// AcceptsPacked is set if the caller accepts packed changes.
+	AcceptsPacked bool `json:"packs,omitempty"`
 }
 
 // RelayResponse is the response to a RelaySelect.
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -112,7 +112,7 @@
 		}
 		wait := min(maxRelayWait, time.Duration(call.WaitMs)*time.Millisecond)
 		told := h.follower.Relay(discovery.RelaySelect{Since: call.Since, Document: call.DocumentRevision, Evacuations: call.Evacuations, Rollouts: call.Rollouts, Wait: wait})
-		return h.packing.changes(call.Since, told, call.Packs), nil
+		return h.packing.changes(call.Since, told, call.AcceptsPacked), nil
 	case api.MethodPiece:
 		call, err := peers.Params[discovery.PieceSelect](method, raw)
 		if err != nil {
--- a/service/handover/knowledge.go
+++ b/service/handover/knowledge.go
@@ -121,7 +121,7 @@
 // Relay implements discovery.Peers.
 func (k *Knowledge) Relay(ctx context.Context, relay string, selection discovery.RelaySelect) (discovery.Relayed, error) {
 	var relayed api.RelayResponse
-	call := api.RelayRequest{Since: selection.Since, DocumentRevision: selection.Document, Evacuations: selection.Evacuations, Rollouts: selection.Rollouts, WaitMs: selection.Wait.Milliseconds(), Packs: true}
+	call := api.RelayRequest{Since: selection.Since, DocumentRevision: selection.Document, Evacuations: selection.Evacuations, Rollouts: selection.Rollouts, WaitMs: selection.Wait.Milliseconds(), AcceptsPacked: true}
 	err := k.Client.Call(ctx, relay, api.MethodFollow, call, &relayed)
 	if err == nil {
 		err = unpack(relayed.PackedChanges, &relayed.Changes.Endpoints)
