--- a/service/api/peers.go
+++ b/service/api/peers.go
@@ -83,7 +83,7 @@
 	Limit int `json:"limit"`
 }
 
-// TimelineResponse is the response to a TimelineSelect.
+// TimelineResponse is the response to a TimelineRequest.
 type TimelineResponse struct {
 	Instance string  `json:"instance"`
 	Events   []Event `json:"events"`
@@ -106,14 +106,14 @@
 }
 
 // StateRequest requests the known endpoints if their revision is newer than NewerThan. The response
-// is a Known.
+// is a StateResponse.
 type StateRequest struct {
 	NewerThan uint64 `json:"newer_than"`
 	// AcceptsPacked is set if the caller accepts packed endpoints.
 	AcceptsPacked bool `json:"packs,omitempty"`
 }
 
-// StateResponse is the response to a StateSelect.
+// StateResponse is the response to a StateRequest.
 type StateResponse struct {
 	discovery.Known
 	// PackedEndpoints holds the endpoints of the state as gzip-compressed JSON, if they are not
@@ -121,9 +121,9 @@
 	PackedEndpoints []byte `json:"packed_endpoints,omitempty"`
 }
 
-// RelayRequest waits for changes that the caller does not have yet. The response is a Relayed.
+// RelayRequest waits for changes that the caller does not have yet. The response is a RelayResponse.
 type RelayRequest struct {
-	// Since is the caller's revision of the endpoints; Document, that of the newest document it
+	// Since is the caller's revision of the endpoints; DocumentRevision, that of the newest document it
 	// knows of.
 	Since            uint64 `json:"since"`
 	DocumentRevision uint64 `json:"document"`
@@ -138,7 +138,7 @@
 	AcceptsPacked bool `json:"packs,omitempty"`
 }
 
-// RelayResponse is the response to a RelaySelect.
+// RelayResponse is the response to a RelayRequest.
 type RelayResponse struct {
 	discovery.Relayed
 	// PackedChanges holds the endpoint changes as gzip-compressed JSON, if they are not included
@@ -146,7 +146,7 @@
 	PackedChanges []byte `json:"packed_changes,omitempty"`
 }
 
-// RunRequest executes the stages of a plan. The response is a Ran.
+// RunRequest executes the stages of a plan. The response is a RunResponse.
 type RunRequest struct {
 	// Call identifies the call for MethodCancel. It is unique among all callers.
 	Call string        `json:"call"`
