--- a/pkg/endpoint/endpoint.go
+++ b/pkg/endpoint/endpoint.go
@@ -69,6 +69,7 @@
 // Effect is the known effect of a failed call.
 type Effect int
 
+// Effects of failed calls.
 const (
 	// NotSent: no data reached the endpoint.
 	NotSent Effect = iota
--- a/pkg/httpconn/pool.go
+++ b/pkg/httpconn/pool.go
@@ -28,6 +28,7 @@
 	readBufferSize     = 4 << 10
 )
 
+// Target is an endpoint to call.
 type Target struct {
 	// ID is the endpoint's incarnation. Connections are not shared between incarnations.
 	ID            string
--- a/service/callers/callers.go
+++ b/service/callers/callers.go
@@ -58,6 +58,7 @@
 	stopping atomic.Bool
 }
 
+// New returns a handler with its routes.
 func New(o Options) *Handler {
 	h := &Handler{Options: o, router: bunrouter.New()}
 	h.router.POST("/v1/pipelines/:pipeline", h.handleCall)
