--- a/pkg/httpconn/httpconn_test.go
+++ b/pkg/httpconn/httpconn_test.go
@@ -113,7 +113,7 @@
 		return plain(r.Header.Get("X-Id"), "for "+r.Header.Get("X-Id")), true
 	}
 
-	It("does not send calls to an endpoint that allows only connections", func() {
+	It("connects to an endpoint that allows only connections, but does not send calls", func() {
 		s := serve(echo)
 		errBlocked := errors.New("blocked")
 		pool = httpconn.NewPool(clock, metrics.NewSet(), httpconn.Gates{Connect: httpconn.AllowAll, Permit: httpconn.AllowAll, Send: func(httpconn.Target) error { return errBlocked }}, httpconn.IgnoreResponses)
