--- a/service/ingress/ingress.go
+++ b/service/ingress/ingress.go
@@ -189,7 +189,7 @@
 }
 
 // read validates the headers and reads the body.
-func (s *Server) read(writer *responder, r *http.Request, request *gateway.Request, held *bodyReservation) *gateway.Refusal {
+func (s *Server) read(writer *responder, r *http.Request, request *gateway.Request, reservation *bodyReservation) *gateway.Refusal {
 	if s.rejecting.Load() {
 		return &gateway.Refusal{Status: http.StatusServiceUnavailable, RetryAfter: refusalRetryAfter, Reason: "stopping", Message: "this instance is shutting down; the request has not run; send it to another instance"}
 	}
@@ -207,7 +207,7 @@
 		drainBody(writer, r)
 		return refuseBody(limit)
 	}
-	if refusal := readBody(writer, r, request, limit, held); refusal != nil {
+	if refusal := readBody(writer, r, request, limit, reservation); refusal != nil {
 		return refusal
 	}
 	wait := request.MaxWait
@@ -225,16 +225,16 @@
 	_, _ = io.CopyN(io.Discard, r.Body, maxDrainBytes)
 }
 
-func readBody(writer *responder, r *http.Request, request *gateway.Request, limit int64, held *bodyReservation) *gateway.Refusal {
+func readBody(writer *responder, r *http.Request, request *gateway.Request, limit int64, reservation *bodyReservation) *gateway.Refusal {
 	if r.ContentLength == 0 {
 		return nil
 	}
-	if !held.reserve(r.ContentLength) {
+	if !reservation.reserve(r.ContentLength) {
 		drainBody(writer, r)
 		return refuseMemory()
 	}
 	_ = writer.control.SetReadDeadline(time.Now().Add(bodyTimeout))
-	body, err := io.ReadAll(held.track(http.MaxBytesReader(nil, r.Body, limit)))
+	body, err := io.ReadAll(reservation.track(http.MaxBytesReader(nil, r.Body, limit)))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(err, errNoMemory):
