--- a/cmd/cobaltcroftd/daemon/faces.go
+++ b/cmd/cobaltcroftd/daemon/faces.go
@@ -179,7 +179,7 @@
 // callersService is the callers' face.
 type callersService struct {
 	traffic *trafficService
-	face    *callers.Face
+	face    *callers.Handler
 	http    *httpFace
 }
 
@@ -210,9 +210,9 @@
 	b.stopping.Store(true)
 	b.ring.Add(timeline.Event{Kind: timeline.InstanceStopping})
 	s.traffic.control.Stopping()
-	s.face.Unready()
+	s.face.SetUnready()
 	time.Sleep(leaveTime)
-	s.face.Stopping()
+	s.face.RejectRequests()
 	if err := s.http.stop(b.settings.Timings.StopGrace.Std()); err != nil {
 		b.logs.For("callers").WithFields(logrus.Fields{"event": "stop_grace_over", "in_flight": s.traffic.executor.InFlight()}).Warn(err)
 	}
@@ -244,13 +244,13 @@
 	}
 	b := trafficService.base
 	path, handler := operators.New(operators.Options{
-		Tokens:    b.settings.Tokens.Operators,
-		Submitter: trafficService.config.submitter,
-		Replica:   trafficService.config.replica,
-		Control:   trafficService.control.Control,
-		Reached:   trafficService.config.follower.Reached,
-		OwnStatus: trafficService.Status,
-		Select: func(selection api.TimelineSelect) api.TimelineEvents {
+		Tokens:            b.settings.Tokens.Operators,
+		Submitter:         trafficService.config.submitter,
+		Replica:           trafficService.config.replica,
+		Control:           trafficService.control.Control,
+		PlatformReachable: trafficService.config.follower.Reached,
+		OwnStatus:         trafficService.Status,
+		SelectEvents: func(selection api.TimelineRequest) api.TimelineResponse {
 			return peers.SelectEvents(b.ring, b.settings.Instance, selection)
 		},
 		Peers: peersService.client,
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -230,7 +230,7 @@
 		Body:     u.request.Body,
 		ID:       u.request.ID,
 		IDHeader: u.Dialect.IDHeader(),
-		MaxRest:  u.maxIdle(),
+		MaxIdle:  u.maxIdle(),
 	})
 	if err != nil {
 		outcome := u.sendFailed(ctx, call, begin, err)
@@ -250,7 +250,7 @@
 	outcome := connBrokenResult(ctx)
 	result := balance.Failed
 	switch {
-	case httpconn.Barred(err):
+	case httpconn.IsBlocked(err):
 		outcome, result = resultBarred, balance.Canceled
 	case httpconn.NotSent(err):
 		outcome, result = resultUnreachable, balance.Unreachable
@@ -280,7 +280,7 @@
 }
 
 // handleResponse handles a response whose header has been received.
-func (u *run) handleResponse(ctx context.Context, call *balance.Call, answer *httpconn.Answer, verdict Verdict) attemptResult {
+func (u *run) handleResponse(ctx context.Context, call *balance.Call, answer *httpconn.Response, verdict Verdict) attemptResult {
 	switch {
 	case verdict.WrongEndpoint:
 		call.End(balance.Unreachable, nil)
@@ -310,7 +310,7 @@
 }
 
 // relayBuffered reads the complete response and forwards it.
-func (u *run) relayBuffered(ctx context.Context, call *balance.Call, answer *httpconn.Answer, verdict Verdict) attemptResult {
+func (u *run) relayBuffered(ctx context.Context, call *balance.Call, answer *httpconn.Response, verdict Verdict) attemptResult {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedResponse+1))
 	// The body counts as held until the client has read it.
 	u.Held.Reserve(int64(len(body)))
--- a/pkg/httpconn/probe.go
+++ b/pkg/httpconn/probe.go
@@ -6,29 +6,28 @@
 	"syscall"
 )
 
-// Sign is what an endpoint's address answers to a new connection.
-type Sign string
+// ProbeResult is the result of a probe.
+type ProbeResult string
 
-// The signs.
+// The results of a probe.
 const (
-	// Lives: it takes connections.
-	Lives Sign = "lives"
-	// Ended: no process listens there.
-	Ended Sign = "ended"
-	// Silent: there was no answer, so that nothing is known: the endpoint or the way there may
-	// be cut off.
-	Silent Sign = "silent"
+	// Alive: the endpoint accepts connections.
+	Alive ProbeResult = "lives"
+	// NotListening: the connection was refused; no process listens on the address.
+	NotListening ProbeResult = "ended"
+	// NoResponse: the state is unknown; the endpoint or the network may have failed.
+	NoResponse ProbeResult = "silent"
 )
 
-// Probe asks whether an endpoint takes connections: one is made, and closed again. A call whose
-// connection broke says nothing of that: its answer alone may have been lost.
-func (p *Pool) Probe(ctx context.Context, target Target) Sign {
-	err := p.Reach(ctx, target)
+// Probe checks whether an endpoint accepts connections. The failure of a call does not show this,
+// because the endpoint may have failed only that call.
+func (p *Pool) Probe(ctx context.Context, target Target) ProbeResult {
+	err := p.CheckConnect(ctx, target)
 	switch {
 	case err == nil:
-		return Lives
+		return Alive
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Ended
+		return NotListening
 	}
-	return Silent
+	return NoResponse
 }
--- a/pkg/traffic/stage.go
+++ b/pkg/traffic/stage.go
@@ -44,7 +44,7 @@
 
 // attemptEnd is how an attempt ended: with an answer or with why there is none.
 type attemptEnd struct {
-	answer endpoint.Answer
+	answer endpoint.Response
 	grant  *scheduling.Grant
 	err    error
 }
@@ -185,7 +185,7 @@
 	return "other failure domain"
 }
 
-func (s *stageRun) send(ctx context.Context, grant *scheduling.Grant, attempt endpoint.Attempt) (endpoint.Answer, error) {
+func (s *stageRun) send(ctx context.Context, grant *scheduling.Grant, attempt endpoint.Attempt) (endpoint.Response, error) {
 	call := endpoint.Call{
 		Attempt:        attempt,
 		Organisation:   s.request.Organisation,
@@ -204,7 +204,7 @@
 }
 
 // settle tells the pool, the effects and the time line what an attempt did.
-func (s *stageRun) settle(ctx context.Context, grant *scheduling.Grant, attempt endpoint.Attempt, answer endpoint.Answer, err error) {
+func (s *stageRun) settle(ctx context.Context, grant *scheduling.Grant, attempt endpoint.Attempt, answer endpoint.Response, err error) {
 	now := s.Clock.Now()
 	if err == nil {
 		s.effects.ended(attempt.ID, true)
@@ -214,7 +214,7 @@
 	}
 	var e *endpoint.Error
 	if !errors.As(err, &e) {
-		e = &endpoint.Error{Effect: endpoint.Doubtful, Cause: err}
+		e = &endpoint.Error{Effect: endpoint.Indeterminate, Cause: err}
 	}
 	s.settleEffect(grant, attempt, e)
 	if s.pool.Finish(now, grant, resultOf(ctx, e), reportOf(e.Load)) {
@@ -225,7 +225,7 @@
 		s.Leaving(control.LeavingEndpoint{Name: grant.Endpoint.Name, Incarnation: grant.Endpoint.Incarnation}, "the endpoint")
 	}
 	kind := timeline.AttemptFailed
-	if e.Foreign {
+	if e.Mismatched {
 		kind = timeline.AnswerDropped
 		s.Metrics.droppedAnswers.Inc()
 	}
@@ -268,7 +268,7 @@
 		return scheduling.Unreachable
 	case e.Effect == endpoint.Refused && e.Draining:
 		return scheduling.Draining
-	case e.Effect == endpoint.Refused && e.Lacking:
+	case e.Effect == endpoint.Refused && e.ModelMissing:
 		return scheduling.ModelMissing
 	case e.Effect == endpoint.Refused:
 		return scheduling.Busy
--- a/service/handover/discovery.go
+++ b/service/handover/discovery.go
@@ -50,8 +50,8 @@
 	if len(addresses) == 0 {
 		return discovery.PeerState{}, problem.New(problem.Unavailable, "name some peers in the settings", "no peer is known")
 	}
-	var known api.Known
-	err := k.Client.Call(ctx, addresses[rand.IntN(len(addresses))], api.MethodState, api.StateSelect{NewerThan: newerThan, Packs: true}, &known)
+	var known api.StateResponse
+	err := k.Client.Call(ctx, addresses[rand.IntN(len(addresses))], api.MethodState, api.StateRequest{NewerThan: newerThan, AcceptsPacked: true}, &known)
 	if err == nil {
 		err = unpack(known.PackedEndpoints, &known.State.Endpoints)
 	}
@@ -123,8 +123,8 @@
 
 // Relay implements discovery.Peers.
 func (k *DiscoveryPeers) Relay(ctx context.Context, relay string, selection discovery.RelayRequest) (discovery.RelayResponse, error) {
-	var relayed api.Relayed
-	call := api.RelaySelect{Since: selection.Since, Document: selection.Document, Evacuations: selection.Evacuations, Rollouts: selection.Rollouts, WaitMs: selection.Wait.Milliseconds(), Packs: true}
+	var relayed api.RelayResponse
+	call := api.RelayRequest{Since: selection.Since, DocumentRevision: selection.Document, Evacuations: selection.Evacuations, Rollouts: selection.Rollouts, WaitMs: selection.Wait.Milliseconds(), AcceptsPacked: true}
 	err := k.Client.Call(ctx, relay, api.MethodFollow, call, &relayed)
 	if err == nil {
 		err = unpack(relayed.PackedChanges, &relayed.Changes.Endpoints)
--- a/service/handover/handler.go
+++ b/service/handover/handler.go
@@ -63,7 +63,7 @@
 func (h *Handler) Answer(ctx context.Context, method string, raw json.RawMessage) (any, error) {
 	switch method {
 	case api.MethodRun:
-		call, err := peers.DecodeParams[api.Run](method, raw)
+		call, err := peers.DecodeParams[api.RunRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
@@ -78,21 +78,21 @@
 		}
 		results := withExpiryTimes([][]batch.Result{call.Results}, h.clock.Now())[0]
 		return struct{}{}, h.router.progress.stageCompleted(call.Call, call.Stage, results)
-	case api.MethodTake:
-		call, err := peers.DecodeParams[api.Take](method, raw)
+	case api.MethodTransfer:
+		call, err := peers.DecodeParams[api.TransferRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		return struct{}{}, h.router.accept(call)
 	case api.MethodCancel:
-		call, err := peers.DecodeParams[api.Cancel](method, raw)
+		call, err := peers.DecodeParams[api.CancelRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		h.cancel(call.Call)
 		return struct{}{}, nil
 	case api.MethodFree:
-		call, err := peers.DecodeParams[api.Free](method, raw)
+		call, err := peers.DecodeParams[api.FreeRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
@@ -106,13 +106,13 @@
 		h.planner.ReaderFailed(call.Endpoint)
 		return struct{}{}, nil
 	case api.MethodFollow:
-		call, err := peers.DecodeParams[api.RelaySelect](method, raw)
+		call, err := peers.DecodeParams[api.RelayRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
 		wait := min(maxRelayWait, time.Duration(call.WaitMs)*time.Millisecond)
-		told := h.follower.Relay(discovery.RelayRequest{Since: call.Since, Document: call.Document, Evacuations: call.Evacuations, Rollouts: call.Rollouts, Wait: wait})
-		return h.packer.changes(call.Since, told, call.Packs), nil
+		told := h.follower.Relay(discovery.RelayRequest{Since: call.Since, Document: call.DocumentRevision, Evacuations: call.Evacuations, Rollouts: call.Rollouts, Wait: wait})
+		return h.packer.changes(call.Since, told, call.AcceptsPacked), nil
 	case api.MethodPiece:
 		call, err := peers.DecodeParams[discovery.PieceRequest](method, raw)
 		if err != nil {
@@ -132,18 +132,18 @@
 		}
 		return h.permits.HandleRequest(call), nil
 	case api.MethodState:
-		call, err := peers.DecodeParams[api.StateSelect](method, raw)
+		call, err := peers.DecodeParams[api.StateRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
-		return h.packer.state(h.follower.LocalState(call.NewerThan), call.Packs), nil
+		return h.packer.state(h.follower.LocalState(call.NewerThan), call.AcceptsPacked), nil
 	}
 	return nil, peers.UnknownMethod(method)
 }
 
 // run runs a plan until it ends, the caller cancels it or the connection is lost. Results of an
 // abandoned plan are freed.
-func (h *Handler) run(ctx context.Context, call api.Run) (api.Ran, error) {
+func (h *Handler) run(ctx context.Context, call api.RunRequest) (api.RunResponse, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	h.mu.Lock()
@@ -158,7 +158,7 @@
 	call.Plan.Due = now.Add(time.Duration(call.DueMs) * time.Millisecond)
 	call.Plan.Deadline = now.Add(time.Duration(call.DeadlineMs) * time.Millisecond)
 	call.Plan.Completed = withExpiryTimes(call.Plan.Completed, now)
-	call.Plan.Progress = h.router.progressReporter(call.From, call.Call)
+	call.Plan.Progress = h.router.progressReporter(call.ProgressAddress, call.Call)
 	return h.router.serve(ctx, call)
 }
 
--- a/service/handover/packing.go
+++ b/service/handover/packing.go
@@ -41,8 +41,8 @@
 }
 
 // state returns an answer with all endpoints, compressed if the peer supports it.
-func (p *endpointPacker) state(known discovery.PeerState, packs bool) api.Known {
-	answer := api.Known{PeerState: known}
+func (p *endpointPacker) state(known discovery.PeerState, packs bool) api.StateResponse {
+	answer := api.StateResponse{PeerState: known}
 	if !packs || len(known.State.Endpoints) < minPackedEndpoints {
 		return answer
 	}
@@ -54,8 +54,8 @@
 }
 
 // changes returns an answer with the changes since a revision, compressed if the peer supports it.
-func (p *endpointPacker) changes(since uint64, told discovery.RelayResponse, packs bool) api.Relayed {
-	answer := api.Relayed{RelayResponse: told}
+func (p *endpointPacker) changes(since uint64, told discovery.RelayResponse, packs bool) api.RelayResponse {
+	answer := api.RelayResponse{RelayResponse: told}
 	if !packs || len(told.Changes.Endpoints) < minPackedEndpoints {
 		return answer
 	}
--- a/service/handover/packing_test.go
+++ b/service/handover/packing_test.go
@@ -90,10 +90,10 @@
 	})
 
 	It("are not used for versions without support, or for few endpoints", func() {
-		Expect(p.state(known, false)).To(Equal(api.Known{PeerState: known}))
-		Expect(p.changes(5, relayed, false)).To(Equal(api.Relayed{RelayResponse: relayed}))
+		Expect(p.state(known, false)).To(Equal(api.StateResponse{PeerState: known}))
+		Expect(p.changes(5, relayed, false)).To(Equal(api.RelayResponse{RelayResponse: relayed}))
 		few := discovery.RelayResponse{Changes: discovery.Changes{Revision: 9, Endpoints: changesOf(many[:minPackedEndpoints-1])}}
-		Expect(p.changes(5, few, true)).To(Equal(api.Relayed{RelayResponse: few}))
+		Expect(p.changes(5, few, true)).To(Equal(api.RelayResponse{RelayResponse: few}))
 	})
 
 	It("are rejected if damaged", func() {
--- a/service/handover/regions_test.go
+++ b/service/handover/regions_test.go
@@ -30,11 +30,11 @@
 	if method != api.MethodRun {
 		return nil
 	}
-	call := params.(api.Run)
+	call := params.(api.RunRequest)
 	region := r.regions.OfPart(call.Part)
 	r.regionsAsked, r.addresses = append(r.regionsAsked, region), append(r.addresses, address)
 	if r.busy[region] {
-		result.(*api.Ran).Reason = pipeline.Busy
+		result.(*api.RunResponse).Reason = pipeline.Busy
 	}
 	return nil
 }
--- a/service/handover/router.go
+++ b/service/handover/router.go
@@ -252,17 +252,17 @@
 // serve runs a plan of another instance. It runs locally if this instance owns the part, or claims
 // it because the owner is unreachable. If the part has another owner, or the caller uses an older
 // division, the answer redirects the caller.
-func (r *Router) serve(ctx context.Context, call api.Run) (api.Ran, error) {
+func (r *Router) serve(ctx context.Context, call api.RunRequest) (api.RunResponse, error) {
 	part, plan := call.Part, call.Plan
 	r.divisions.merge(call.Division, "told_with_plan")
 	if division := r.divisions.agreed(); call.Division.Parts > 0 && part.Of != division.Parts && division.Supersedes(call.Division) {
-		return api.Ran{Outcome: pipeline.Outcome{Reason: batch.Moved, Completed: plan.Completed}, Division: division}, nil
+		return api.RunResponse{Outcome: pipeline.Outcome{Reason: batch.Moved, Completed: plan.Completed}, Division: division}, nil
 	}
-	r.claims.merge([]ownership.Claim{call.Known}, "told_with_plan")
+	r.claims.merge([]ownership.Claim{call.Owner}, "told_with_plan")
 	holder, known := r.claims.holder(part)
 	if known && !r.claims.owns(part) && r.owners.reachable(holder.Owner) && !call.Relayed {
-		if holder != call.Known {
-			return api.Ran{Outcome: pipeline.Outcome{Reason: batch.Moved, Completed: plan.Completed}, Owner: holder}, nil
+		if holder != call.Owner {
+			return api.RunResponse{Outcome: pipeline.Outcome{Reason: batch.Moved, Completed: plan.Completed}, Owner: holder}, nil
 		}
 		outcome, err := r.handOver(ctx, holder.Owner.PeerAddress, part, plan, true)
 		if err == nil {
@@ -272,7 +272,7 @@
 	}
 	if !r.claims.owns(part) {
 		if r.mustDecline() {
-			return api.Ran{}, errLeaving("retry with the next candidate owner")
+			return api.RunResponse{}, errLeaving("retry with the next candidate owner")
 		}
 		r.claim(part, "asked_by_peer")
 		r.planner.Resume(part)
@@ -282,10 +282,10 @@
 
 // response adds the current owner of the part to an outcome, and the current division if the
 // caller's is older.
-func (r *Router) response(call api.Run, outcome pipeline.Outcome) api.Ran {
+func (r *Router) response(call api.RunRequest, outcome pipeline.Outcome) api.RunResponse {
 	holder, _ := r.claims.holder(call.Part)
 	outcome.Completed = withRemainingTimes(outcome.Completed, r.clock.Now())
-	ran := api.Ran{Outcome: outcome, Owner: holder}
+	ran := api.RunResponse{Outcome: outcome, Owner: holder}
 	if division := r.divisions.agreed(); division.Supersedes(call.Division) {
 		ran.Division = division
 	}
@@ -296,13 +296,13 @@
 // the results reported so far.
 func (r *Router) handOver(ctx context.Context, address string, part pipeline.Part, plan pipeline.Plan, relayed bool) (pipeline.Outcome, error) {
 	now := r.clock.Now()
-	call := api.Run{Call: uuid.NewString(), Part: part, Plan: plan, DueMs: plan.Due.Sub(now).Milliseconds(), DeadlineMs: plan.Deadline.Sub(now).Milliseconds(), Relayed: relayed}
+	call := api.RunRequest{Call: uuid.NewString(), Part: part, Plan: plan, DueMs: plan.Due.Sub(now).Milliseconds(), DeadlineMs: plan.Deadline.Sub(now).Milliseconds(), Relayed: relayed}
 	call.Plan.Completed = withRemainingTimes(plan.Completed, now)
-	call.Known, _ = r.claims.holder(part)
-	call.From = r.owners.self.PeerAddress
+	call.Owner, _ = r.claims.holder(part)
+	call.ProgressAddress = r.owners.self.PeerAddress
 	call.Division = r.divisions.current()
 	r.progress.begin(call.Call, &plan)
-	var ran api.Ran
+	var ran api.RunResponse
 	err := r.client.Call(ctx, address, api.MethodRun, call, &ran)
 	made := r.progress.end(call.Call)
 	if ctx.Err() != nil {
@@ -327,7 +327,7 @@
 func (r *Router) cancel(address, call string) {
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
-	if err := r.client.Notify(ctx, address, api.MethodCancel, api.Cancel{Call: call}); err != nil {
+	if err := r.client.Notify(ctx, address, api.MethodCancel, api.CancelRequest{Call: call}); err != nil {
 		r.log.WithFields(logrus.Fields{"event": "cancel_not_sent", "owner": address}).Debug(err)
 	}
 }
@@ -386,7 +386,7 @@
 func (r *Router) freeThrough(address string, results []batch.Result) {
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
-	if err := r.client.Notify(ctx, address, api.MethodFree, api.Free{Results: results}); err != nil {
+	if err := r.client.Notify(ctx, address, api.MethodFree, api.FreeRequest{Results: results}); err != nil {
 		r.results.Free(results)
 	}
 }
--- a/service/handover/transfer.go
+++ b/service/handover/transfer.go
@@ -79,7 +79,7 @@
 func (r *Router) transfer(claim ownership.Claim, ledger pipeline.Ledger) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
-	err := r.client.Call(ctx, claim.Owner.PeerAddress, api.MethodTake, api.Take{Claim: claim, Ledger: ledger}, &struct{}{})
+	err := r.client.Call(ctx, claim.Owner.PeerAddress, api.MethodTransfer, api.TransferRequest{Claim: claim, Ledger: ledger}, &struct{}{})
 	fields := logrus.Fields{"event": "part_given", "part": claim.Part.Number, "term": claim.Term, "to": claim.Owner.Name, "endpoints": len(ledger.Pieces.Endpoints)}
 	if err != nil {
 		if !peers.IsPeerError(err) {
@@ -93,7 +93,7 @@
 }
 
 // accept accepts a part and the ledger of its previous owner.
-func (r *Router) accept(call api.Take) error {
+func (r *Router) accept(call api.TransferRequest) error {
 	if !r.claims.owns(call.Claim.Part) && r.mustDecline() {
 		return errLeaving("transfer the part to another instance")
 	}
--- a/service/peers/client.go
+++ b/service/peers/client.go
@@ -61,13 +61,13 @@
 // Pull implements config.Puller.
 func (c *Client) Pull(ctx context.Context, address string, from uint64) (config.Update, error) {
 	var update config.Update
-	err := c.Call(ctx, address, api.MethodPull, api.Pull{From: from}, &update)
+	err := c.Call(ctx, address, api.MethodPull, api.PullRequest{AfterRevision: from}, &update)
 	return update, err
 }
 
 // Forward implements once.Forwarder.
 func (c *Client) Forward(ctx context.Context, holder atmostonce.Holder, r request.Request) (request.Result, error) {
-	forward := api.Forward{
+	forward := api.ForwardRequest{
 		HolderInstance:    holder.Instance,
 		HolderIncarnation: holder.Incarnation,
 		Pipeline:          r.Pipeline,
@@ -91,8 +91,8 @@
 }
 
 // Timeline fetches timeline events from a peer.
-func (c *Client) Timeline(ctx context.Context, address string, selection api.TimelineSelect) (api.TimelineEvents, error) {
-	var events api.TimelineEvents
+func (c *Client) Timeline(ctx context.Context, address string, selection api.TimelineRequest) (api.TimelineResponse, error) {
+	var events api.TimelineResponse
 	err := c.Call(ctx, address, api.MethodTimeline, selection, &events)
 	return events, err
 }
--- a/service/peers/server.go
+++ b/service/peers/server.go
@@ -192,13 +192,13 @@
 func (h InstanceHandler) Answer(ctx context.Context, method string, raw json.RawMessage) (any, error) {
 	switch method {
 	case api.MethodPull:
-		pull, err := DecodeParams[api.Pull](method, raw)
+		pull, err := DecodeParams[api.PullRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
-		return h.Backend.Since(pull.From)
+		return h.Backend.Since(pull.AfterRevision)
 	case api.MethodForward:
-		forward, err := DecodeParams[api.Forward](method, raw)
+		forward, err := DecodeParams[api.ForwardRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
@@ -206,7 +206,7 @@
 	case api.MethodStatus:
 		return h.Backend.Status(), nil
 	case api.MethodTimeline:
-		selection, err := DecodeParams[api.TimelineSelect](method, raw)
+		selection, err := DecodeParams[api.TimelineRequest](method, raw)
 		if err != nil {
 			return nil, err
 		}
@@ -220,7 +220,7 @@
 	return problem.New(problem.NotFound, "run the same version on all instances", "unknown method %q", method)
 }
 
-func (h InstanceHandler) forward(ctx context.Context, f api.Forward) api.Result {
+func (h InstanceHandler) forward(ctx context.Context, f api.ForwardRequest) api.Result {
 	f.Call.Input = f.Input
 	r := convert.Request(f.Call, f.Pipeline, time.Now(), time.Duration(f.DeadlineMs)*time.Millisecond)
 	holder := atmostonce.Holder{Instance: f.HolderInstance, Incarnation: f.HolderIncarnation}
@@ -230,14 +230,14 @@
 }
 
 // SelectEvents returns the events of one instance that match a selection.
-func SelectEvents(ring *timeline.Ring, instance string, selection api.TimelineSelect) api.TimelineEvents {
+func SelectEvents(ring *timeline.Ring, instance string, selection api.TimelineRequest) api.TimelineResponse {
 	events, dropped := ring.Select(timeline.Filter{Request: selection.Request, Change: selection.Change, Endpoint: selection.Endpoint})
 	limit := selection.Limit
 	if limit <= 0 || limit > maxEvents {
 		limit = maxEvents
 	}
 	events = events[max(0, len(events)-limit):]
-	answer := api.TimelineEvents{Instance: instance, Dropped: dropped}
+	answer := api.TimelineResponse{Instance: instance, Dropped: dropped}
 	for _, e := range events {
 		answer.Events = append(answer.Events, convert.Event(e))
 	}
