--- a/cmd/cobaltcroftd/gateway/notices.go
+++ b/cmd/cobaltcroftd/gateway/notices.go
@@ -41,7 +41,7 @@
 // observeResponse processes the notices in the header of an endpoint's response.
 func (g *Gateway) observeResponse(target httpconn.Target, uri string, status int, h http.Header) {
 	g.logUnknownTerms(target, h)
-	n := platform.Notice(uri, status, h)
+	n := platform.ParseNotice(uri, status, h)
 	if n.Leaving {
 		g.follower.Depart(discovery.Answer, target.ID)
 	}
