--- a/cmd/cobaltcroftd/gateway/notices.go
+++ b/cmd/cobaltcroftd/gateway/notices.go
@@ -62,7 +62,7 @@
 
 // logUnknownTerms logs response terms that the gateway does not implement, each once.
 func (g *Gateway) logUnknownTerms(target httpconn.Target, h http.Header) {
-	for _, term := range platform.UnknownTerms(h) {
+	for _, term := range platform.UnknownHeaders(h) {
 		if _, logged := g.unknownTerms.LoadOrStore(term, true); !logged {
 			g.log.WithFields(logrus.Fields{"event": "answer_term_unknown", "endpoint": target.ID, "term": term}).Warn("response term is not implemented; see the platform documentation")
 		}
