--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -119,12 +119,12 @@
 		Entry("bytes that are no answer", platformtest.Spoiled, http.StatusBadGateway),
 		Entry("an answer without a seal", platformtest.NoSeal, http.StatusBadGateway),
 		Entry("a failure is passed on", platformtest.Fail, http.StatusInternalServerError),
-		Entry("all endpoints are full: not run, come back", platformtest.Full, http.StatusServiceUnavailable),
+		Entry("all endpoints are full: not run, come back", platformtest.RejectNotRun, http.StatusServiceUnavailable),
 	)
 
 	It("that were not run say when to come back", func() {
 		for _, e := range d.Of("simple") {
-			e.Always(platformtest.Full)
+			e.Always(platformtest.RejectNotRun)
 		}
 		id, got := i.ask("once")
 		Expect(got.Status).To(Equal(http.StatusServiceUnavailable))
--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -82,7 +82,7 @@
 			Eventually(kept).Should(BeNumerically("<=", 6))
 		},
 		Entry("that has no room", "second", platformtest.NoRoom),
-		Entry("that is full", "first", platformtest.Full),
+		Entry("that is full", "first", platformtest.RejectNotRun),
 		Entry("whose answer is lost", "second", platformtest.LoseAnswer),
 		Entry("that answers with a failure", "third", platformtest.Fail),
 	)
@@ -189,7 +189,7 @@
 
 	It("are given up, not run, while their callers have time to come back", func() {
 		for _, e := range d.Of("first") {
-			e.Always(platformtest.Full)
+			e.Always(platformtest.RejectNotRun)
 		}
 		for n := range d.Config.Routes {
 			d.Config.Routes[n].TimeoutMs = 20_000
