--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -118,7 +118,7 @@
 		Entry("the answer breaks off", platformtest.BreakOff, http.StatusBadGateway),
 		Entry("bytes that are no answer", platformtest.Spoiled, http.StatusBadGateway),
 		Entry("an answer without a seal", platformtest.NoSeal, http.StatusBadGateway),
-		Entry("a failure is passed on", platformtest.Fail, http.StatusInternalServerError),
+		Entry("a failure is passed on", platformtest.InternalError, http.StatusInternalServerError),
 		Entry("all endpoints are full: not run, come back", platformtest.RejectNotRun, http.StatusServiceUnavailable),
 	)
 
@@ -167,7 +167,7 @@
 		},
 		Entry("the answer is lost", platformtest.LoseAnswer),
 		Entry("the answer breaks off", platformtest.BreakOff),
-		Entry("a failure", platformtest.Fail),
+		Entry("a failure", platformtest.InternalError),
 		Entry("bytes that are no answer", platformtest.Spoiled),
 		Entry("no seal", platformtest.NoSeal),
 	)
--- a/cmd/cobaltcroftd/gateway/rollout_test.go
+++ b/cmd/cobaltcroftd/gateway/rollout_test.go
@@ -186,7 +186,7 @@
 			Expect(of).To(Equal(got))
 			Expect(d.readRecord()).To(Equal(rolloutRecord{"reverted", "v2"}))
 		},
-		Entry("that fails four answers in ten", func(e *platformtest.Engine) { e.Each(2, platformtest.Fail) }),
+		Entry("that fails four answers in ten", func(e *platformtest.Engine) { e.Each(2, platformtest.InternalError) }),
 		Entry("that is ten times as slow", func(e *platformtest.Engine) { e.SetTimes(80*time.Millisecond, 0) }),
 		Entry("that loses answers late", func(e *platformtest.Engine) {
 			time.AfterFunc(2500*time.Millisecond, func() { e.Each(2, platformtest.LoseAnswer) })
@@ -245,7 +245,7 @@
 
 	It("of a version that fails is passed over by instances of which the first request comes later", func() {
 		d := deployRollout(1)
-		d.order("v2", 1, func(e *platformtest.Engine) { e.Always(platformtest.Fail) })
+		d.order("v2", 1, func(e *platformtest.Engine) { e.Always(platformtest.InternalError) })
 		Eventually(d.readRecord).Should(Equal(rolloutRecord{"reverted", "v2"}))
 		before := d.awaitQuiet("v2")
 		for range 3 {
--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -84,7 +84,7 @@
 		Entry("that has no room", "second", platformtest.NoRoom),
 		Entry("that is full", "first", platformtest.RejectNotRun),
 		Entry("whose answer is lost", "second", platformtest.LoseAnswer),
-		Entry("that answers with a failure", "third", platformtest.Fail),
+		Entry("that answers with a failure", "third", platformtest.InternalError),
 	)
 
 	It("are made again when an engine says that an input is gone", func() {
