--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -242,7 +242,7 @@
 			}
 			Eventually(func() int { return send(i.request(http.MethodPost, "repeat", newID(), "the same")).Status }).Should(Equal(http.StatusOK))
 		},
-		Entry("by resets", platformtest.LoseAnswer),
+		Entry("by resets", platformtest.DropResponse),
 		Entry("in their middle", platformtest.BreakOff),
 		Entry("as bytes that are no answer", platformtest.Spoiled),
 	)
--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -114,7 +114,7 @@
 			Expect(got.Status).To(Equal(status))
 			Expect(len(d.Runs("simple", id))).To(BeNumerically("<=", 1))
 		},
-		Entry("the answer is lost", platformtest.LoseAnswer, http.StatusBadGateway),
+		Entry("the answer is lost", platformtest.DropResponse, http.StatusBadGateway),
 		Entry("the answer breaks off", platformtest.BreakOff, http.StatusBadGateway),
 		Entry("bytes that are no answer", platformtest.Spoiled, http.StatusBadGateway),
 		Entry("an answer without a seal", platformtest.NoSeal, http.StatusBadGateway),
@@ -134,7 +134,7 @@
 
 	It("that may have run are never told that they have not", func() {
 		for _, e := range d.Of("simple") {
-			e.Always(platformtest.LoseAnswer)
+			e.Always(platformtest.DropResponse)
 		}
 		for range 4 {
 			id, got := i.ask("repeat")
@@ -165,7 +165,7 @@
 				Expect(got).To(whole(id))
 			}
 		},
-		Entry("the answer is lost", platformtest.LoseAnswer),
+		Entry("the answer is lost", platformtest.DropResponse),
 		Entry("the answer breaks off", platformtest.BreakOff),
 		Entry("a failure", platformtest.InternalError),
 		Entry("bytes that are no answer", platformtest.Spoiled),
--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -83,7 +83,7 @@
 		},
 		Entry("that has no room", "second", platformtest.NoRoom),
 		Entry("that is full", "first", platformtest.RejectNotRun),
-		Entry("whose answer is lost", "second", platformtest.LoseAnswer),
+		Entry("whose answer is lost", "second", platformtest.DropResponse),
 		Entry("that answers with a failure", "third", platformtest.InternalError),
 	)
 
