--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -243,7 +243,7 @@
 			Eventually(func() int { return send(i.request(http.MethodPost, "repeat", newID(), "the same")).Status }).Should(Equal(http.StatusOK))
 		},
 		Entry("by resets", platformtest.DropResponse),
-		Entry("in their middle", platformtest.BreakOff),
+		Entry("in their middle", platformtest.TruncateResponse),
 		Entry("as bytes that are no answer", platformtest.Spoiled),
 	)
 
--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -115,7 +115,7 @@
 			Expect(len(d.Runs("simple", id))).To(BeNumerically("<=", 1))
 		},
 		Entry("the answer is lost", platformtest.DropResponse, http.StatusBadGateway),
-		Entry("the answer breaks off", platformtest.BreakOff, http.StatusBadGateway),
+		Entry("the answer breaks off", platformtest.TruncateResponse, http.StatusBadGateway),
 		Entry("bytes that are no answer", platformtest.Spoiled, http.StatusBadGateway),
 		Entry("an answer without a seal", platformtest.NoSeal, http.StatusBadGateway),
 		Entry("a failure is passed on", platformtest.InternalError, http.StatusInternalServerError),
@@ -166,7 +166,7 @@
 			}
 		},
 		Entry("the answer is lost", platformtest.DropResponse),
-		Entry("the answer breaks off", platformtest.BreakOff),
+		Entry("the answer breaks off", platformtest.TruncateResponse),
 		Entry("a failure", platformtest.InternalError),
 		Entry("bytes that are no answer", platformtest.Spoiled),
 		Entry("no seal", platformtest.NoSeal),
@@ -225,7 +225,7 @@
 		})
 
 		It("go on at another engine after the last event", func() {
-			d.Of("model")[0].Always(platformtest.BreakOff)
+			d.Of("model")[0].Always(platformtest.TruncateResponse)
 			for range 3 {
 				id, got := i.ask("stream")
 				Expect(got).To(SatisfyAll(HaveField("Body", events(id, 8)), HaveField("Whole", true)))
@@ -234,7 +234,7 @@
 
 		It("that must not be resumed end so that they do not look complete", func() {
 			for _, e := range d.Of("model") {
-				e.Always(platformtest.BreakOff)
+				e.Always(platformtest.TruncateResponse)
 			}
 			id, got := i.ask("fixed")
 			Expect(got.Whole).To(BeFalse())
--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -98,7 +98,7 @@
 
 	It("go on at another engine with inputs made anew, when the stream breaks off", func() {
 		i := start(d.Address())
-		d.Of("model")[0].Always(platformtest.BreakOff)
+		d.Of("model")[0].Always(platformtest.TruncateResponse)
 		for range 4 {
 			id, got := staged(i)
 			served(id, got)
