--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -187,7 +187,7 @@
 
 	It("whose client leaves are ended at the endpoint", func() {
 		for _, e := range d.Of("simple") {
-			e.Always(platformtest.Mute)
+			e.Always(platformtest.Hang)
 		}
 		working := func() int { return d.Of("simple")[0].Working() + d.Of("simple")[1].Working() }
 		r, cancel := withCancel(i.request(http.MethodPost, "once", newID(), ""))
@@ -199,7 +199,7 @@
 
 	It("are answered when their time is over", func() {
 		for _, e := range d.Of("simple") {
-			e.Always(platformtest.Mute)
+			e.Always(platformtest.Hang)
 		}
 		r := i.request(http.MethodPost, "once", newID(), "")
 		r.Header.Set("Cobaltcroft-Deadline-Ms", "300")
