--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -153,7 +153,7 @@
 			}
 		},
 		Entry("after an answer to another request", "once", platformtest.Crossed),
-		Entry("before a surplus answer", "once", platformtest.Surplus),
+		Entry("before a surplus answer", "once", platformtest.ExtraResponse),
 		Entry("without a length", "once", platformtest.Unframed),
 	)
 
