--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -152,7 +152,7 @@
 				Expect(got).To(whole(id))
 			}
 		},
-		Entry("after an answer to another request", "once", platformtest.Crossed),
+		Entry("after an answer to another request", "once", platformtest.MismatchedResponse),
 		Entry("before a surplus answer", "once", platformtest.ExtraResponse),
 		Entry("without a length", "once", platformtest.Unframed),
 	)
