--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -244,7 +244,7 @@
 		},
 		Entry("by resets", platformtest.DropResponse),
 		Entry("in their middle", platformtest.TruncateResponse),
-		Entry("as bytes that are no answer", platformtest.Spoiled),
+		Entry("as bytes that are no answer", platformtest.MalformedResponse),
 	)
 
 	It("nor is one whose endpoints end as planned, with what they still run", func() {
--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -116,7 +116,7 @@
 		},
 		Entry("the answer is lost", platformtest.DropResponse, http.StatusBadGateway),
 		Entry("the answer breaks off", platformtest.TruncateResponse, http.StatusBadGateway),
-		Entry("bytes that are no answer", platformtest.Spoiled, http.StatusBadGateway),
+		Entry("bytes that are no answer", platformtest.MalformedResponse, http.StatusBadGateway),
 		Entry("an answer without a seal", platformtest.NoSeal, http.StatusBadGateway),
 		Entry("a failure is passed on", platformtest.InternalError, http.StatusInternalServerError),
 		Entry("all endpoints are full: not run, come back", platformtest.RejectNotRun, http.StatusServiceUnavailable),
@@ -168,7 +168,7 @@
 		Entry("the answer is lost", platformtest.DropResponse),
 		Entry("the answer breaks off", platformtest.TruncateResponse),
 		Entry("a failure", platformtest.InternalError),
-		Entry("bytes that are no answer", platformtest.Spoiled),
+		Entry("bytes that are no answer", platformtest.MalformedResponse),
 		Entry("no seal", platformtest.NoSeal),
 	)
 
