--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -154,7 +154,7 @@
 		},
 		Entry("after an answer to another request", "once", platformtest.MismatchedResponse),
 		Entry("before a surplus answer", "once", platformtest.ExtraResponse),
-		Entry("without a length", "once", platformtest.Unframed),
+		Entry("without a length", "once", platformtest.MissingLength),
 	)
 
 	DescribeTable("that may be repeated go to another endpoint",
