--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -175,7 +175,7 @@
 	It("whose endpoint answers before it has read them leave nothing behind", func() {
 		body := strings.Repeat("long ", 100_000)
 		for _, e := range d.Of("simple") {
-			e.Next(platformtest.Early, platformtest.Early)
+			e.Next(platformtest.EarlyResponse, platformtest.EarlyResponse)
 		}
 		for range 6 {
 			send(i.request(http.MethodPost, "once", newID(), body))
