--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -117,7 +117,7 @@
 		Entry("the answer is lost", platformtest.DropResponse, http.StatusBadGateway),
 		Entry("the answer breaks off", platformtest.TruncateResponse, http.StatusBadGateway),
 		Entry("bytes that are no answer", platformtest.MalformedResponse, http.StatusBadGateway),
-		Entry("an answer without a seal", platformtest.NoSeal, http.StatusBadGateway),
+		Entry("an answer without a seal", platformtest.MissingSeal, http.StatusBadGateway),
 		Entry("a failure is passed on", platformtest.InternalError, http.StatusInternalServerError),
 		Entry("all endpoints are full: not run, come back", platformtest.RejectNotRun, http.StatusServiceUnavailable),
 	)
@@ -169,7 +169,7 @@
 		Entry("the answer breaks off", platformtest.TruncateResponse),
 		Entry("a failure", platformtest.InternalError),
 		Entry("bytes that are no answer", platformtest.MalformedResponse),
-		Entry("no seal", platformtest.NoSeal),
+		Entry("no seal", platformtest.MissingSeal),
 	)
 
 	It("whose endpoint answers before it has read them leave nothing behind", func() {
