--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -89,7 +89,7 @@
 
 	It("are made again when an engine says that an input is gone", func() {
 		i := start(d.Address())
-		d.Of("model")[0].Next(platformtest.InputGone)
+		d.Of("model")[0].Next(platformtest.MissingInput)
 		for range 4 {
 			id, got := staged(i)
 			served(id, got)
