--- a/cmd/cobaltcroftd/gateway/regions_test.go
+++ b/cmd/cobaltcroftd/gateway/regions_test.go
@@ -50,7 +50,7 @@
 			first := start(d.Address())
 			instances := []*instance{first, start(d.Address(), first.Peers)}
 			random := rand.New(rand.NewPCG(5, 1))
-			faults := []platformtest.Fault{platformtest.RejectNotRun, platformtest.InternalError, platformtest.DropResponse, platformtest.TruncateResponse, platformtest.NoRoom, platformtest.MissingInput}
+			faults := []platformtest.Fault{platformtest.RejectNotRun, platformtest.InternalError, platformtest.DropResponse, platformtest.TruncateResponse, platformtest.OutOfMemory, platformtest.MissingInput}
 			for range 25 {
 				d.Engines[random.IntN(len(d.Engines))].Next(faults[random.IntN(len(faults))])
 				Expect(traffic(instances[random.IntN(2)], kinds...)).To(ContainElement(http.StatusOK))
--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -81,7 +81,7 @@
 			served(id, got)
 			Eventually(kept).Should(BeNumerically("<=", 6))
 		},
-		Entry("that has no room", "second", platformtest.NoRoom),
+		Entry("that has no room", "second", platformtest.OutOfMemory),
 		Entry("that is full", "first", platformtest.RejectNotRun),
 		Entry("whose answer is lost", "second", platformtest.DropResponse),
 		Entry("that answers with a failure", "third", platformtest.InternalError),
