--- a/cmd/cobaltcroftd/gateway/evacuation_test.go
+++ b/cmd/cobaltcroftd/gateway/evacuation_test.go
@@ -75,7 +75,7 @@
 
 	It("lets requests in flight finish", func() {
 		for _, e := range d.Of("model") {
-			e.SetTimes(time.Millisecond, 300*time.Millisecond)
+			e.SetTiming(time.Millisecond, 300*time.Millisecond)
 		}
 		i := start(d.Address())
 		id := newID()
--- a/cmd/cobaltcroftd/gateway/lifecycle_test.go
+++ b/cmd/cobaltcroftd/gateway/lifecycle_test.go
@@ -132,7 +132,7 @@
 
 	It("stops as planned: unready at once, and nothing in flight is cut", func() {
 		for _, e := range d.Of("model") {
-			e.SetTimes(time.Millisecond, 150*time.Millisecond)
+			e.SetTiming(time.Millisecond, 150*time.Millisecond)
 		}
 		i := start(d.Address())
 		id := newID()
@@ -150,7 +150,7 @@
 
 	It("refuses, not run, what comes late in a planned stop", func() {
 		for _, e := range d.Of("model") {
-			e.SetTimes(time.Millisecond, 500*time.Millisecond)
+			e.SetTiming(time.Millisecond, 500*time.Millisecond)
 		}
 		i := start(d.Address())
 		go send(i.request(http.MethodPost, "stream", newID(), ""))
--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -204,7 +204,7 @@
 
 	It("does not affect other requests", func() {
 		for _, e := range d.Of("model") {
-			e.SetTimes(time.Millisecond, 60*time.Millisecond)
+			e.SetTiming(time.Millisecond, 60*time.Millisecond)
 		}
 		i := instances[0]
 		var proper sync.WaitGroup
--- a/cmd/cobaltcroftd/gateway/rollout_test.go
+++ b/cmd/cobaltcroftd/gateway/rollout_test.go
@@ -187,7 +187,7 @@
 			Expect(d.readRecord()).To(Equal(rolloutRecord{"reverted", "v2"}))
 		},
 		Entry("that fails four answers in ten", func(e *platformtest.Engine) { e.Each(2, platformtest.InternalError) }),
-		Entry("that is ten times as slow", func(e *platformtest.Engine) { e.SetTimes(80*time.Millisecond, 0) }),
+		Entry("that is ten times as slow", func(e *platformtest.Engine) { e.SetTiming(80*time.Millisecond, 0) }),
 		Entry("that loses answers late", func(e *platformtest.Engine) {
 			time.AfterFunc(2500*time.Millisecond, func() { e.Each(2, platformtest.DropResponse) })
 		}),
--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -114,7 +114,7 @@
 		b := start(d.Address(), a.Peers)
 		// Until the instances know each other each makes its own calls, which is allowed.
 		for _, e := range append(d.Of("first"), d.Of("second")...) {
-			e.SetTimes(60*time.Millisecond, 0)
+			e.SetTiming(60*time.Millisecond, 0)
 		}
 		var group sync.WaitGroup
 		const each = 12
@@ -136,7 +136,7 @@
 		a := start(d.Address())
 		b := start(d.Address(), a.Peers)
 		for _, e := range append(d.Of("first"), d.Of("second")...) {
-			e.SetTimes(100*time.Millisecond, 0)
+			e.SetTiming(100*time.Millisecond, 0)
 		}
 		var ok atomic.Int32
 		var group sync.WaitGroup
@@ -156,7 +156,7 @@
 
 	It("are refused, not run, before a planned stop ends that would cut them", func() {
 		for _, e := range d.Of("second") {
-			e.SetTimes(20*time.Second, 0)
+			e.SetTiming(20*time.Second, 0)
 		}
 		for _, service := range d.Config.Services[2:] {
 			service["Segments"].(map[string]any)["CallMs"] = 9000.0
