--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -209,7 +209,7 @@
 	It("do not run at another engine that has got the address", func() {
 		old := d.Of("simple")[0]
 		d.Store.Remove("servers/" + d.Of("simple")[1].ID)
-		old.Reincarnate()
+		old.ReplaceIncarnation()
 		// The store still lists the old incarnation.
 		Eventually(func() int {
 			_, got := i.ask("once")
