--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -255,7 +255,7 @@
 		for n := range 3 {
 			e := d.Of("simple")[n]
 			Eventually(status).Should(Equal(http.StatusOK))
-			e.Next(platformtest.Hang)
+			e.QueueFaults(platformtest.Hang)
 			cut := make(chan answer, 1)
 			go func() { cut <- same() }()
 			Eventually(e.Working).Should(Equal(1))
--- a/cmd/cobaltcroftd/gateway/regions_test.go
+++ b/cmd/cobaltcroftd/gateway/regions_test.go
@@ -52,7 +52,7 @@
 			random := rand.New(rand.NewPCG(5, 1))
 			faults := []platformtest.Fault{platformtest.RejectNotRun, platformtest.InternalError, platformtest.DropResponse, platformtest.TruncateResponse, platformtest.OutOfMemory, platformtest.MissingInput}
 			for range 25 {
-				d.Engines[random.IntN(len(d.Engines))].Next(faults[random.IntN(len(faults))])
+				d.Engines[random.IntN(len(d.Engines))].QueueFaults(faults[random.IntN(len(faults))])
 				Expect(traffic(instances[random.IntN(2)], kinds...)).To(ContainElement(http.StatusOK))
 			}
 			Expect(reached(forbidden)).To(BeZero())
--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -108,7 +108,7 @@
 	DescribeTable("that must not be repeated run once at most",
 		func(fault platformtest.Fault, status int) {
 			for _, e := range d.Of("simple") {
-				e.Next(fault)
+				e.QueueFaults(fault)
 			}
 			id, got := i.ask("once")
 			Expect(got.Status).To(Equal(status))
@@ -145,8 +145,8 @@
 
 	DescribeTable("get their own whole answer",
 		func(route string, fault platformtest.Fault) {
-			d.Of("simple")[0].Next(fault)
-			d.Of("simple")[1].Next(fault)
+			d.Of("simple")[0].QueueFaults(fault)
+			d.Of("simple")[1].QueueFaults(fault)
 			for range 4 {
 				id, got := i.ask(route)
 				Expect(got).To(whole(id))
@@ -175,7 +175,7 @@
 	It("whose endpoint answers before it has read them leave nothing behind", func() {
 		body := strings.Repeat("long ", 100_000)
 		for _, e := range d.Of("simple") {
-			e.Next(platformtest.EarlyResponse, platformtest.EarlyResponse)
+			e.QueueFaults(platformtest.EarlyResponse, platformtest.EarlyResponse)
 		}
 		for range 6 {
 			send(i.request(http.MethodPost, "once", newID(), body))
--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -75,7 +75,7 @@
 		func(service string, fault platformtest.Fault) {
 			i := start(d.Address())
 			for _, e := range d.Of(service) {
-				e.Next(fault)
+				e.QueueFaults(fault)
 			}
 			id, got := staged(i)
 			served(id, got)
@@ -89,7 +89,7 @@
 
 	It("are made again when an engine says that an input is gone", func() {
 		i := start(d.Address())
-		d.Of("model")[0].Next(platformtest.MissingInput)
+		d.Of("model")[0].QueueFaults(platformtest.MissingInput)
 		for range 4 {
 			id, got := staged(i)
 			served(id, got)
