--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -231,14 +231,14 @@
 			d := deploy(4)
 			i := start(d.Address())
 			for _, e := range d.Engines {
-				e.Always(fault)
+				e.SetDefaultFault(fault)
 			}
 			for range 4 {
 				Expect(send(i.request(http.MethodPost, "repeat", newID(), "the same")).Status).To(Equal(http.StatusBadGateway))
 				Expect(send(i.request(http.MethodPost, "once", newID(), "the same")).Status).To(Equal(http.StatusBadGateway))
 			}
 			for _, e := range d.Engines {
-				e.Always(0)
+				e.SetDefaultFault(0)
 			}
 			Eventually(func() int { return send(i.request(http.MethodPost, "repeat", newID(), "the same")).Status }).Should(Equal(http.StatusOK))
 		},
--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -124,7 +124,7 @@
 
 	It("that were not run say when to come back", func() {
 		for _, e := range d.Of("simple") {
-			e.Always(platformtest.RejectNotRun)
+			e.SetDefaultFault(platformtest.RejectNotRun)
 		}
 		id, got := i.ask("once")
 		Expect(got.Status).To(Equal(http.StatusServiceUnavailable))
@@ -134,7 +134,7 @@
 
 	It("that may have run are never told that they have not", func() {
 		for _, e := range d.Of("simple") {
-			e.Always(platformtest.DropResponse)
+			e.SetDefaultFault(platformtest.DropResponse)
 		}
 		for range 4 {
 			id, got := i.ask("repeat")
@@ -159,7 +159,7 @@
 
 	DescribeTable("that may be repeated go to another endpoint",
 		func(fault platformtest.Fault) {
-			d.Of("simple")[0].Always(fault)
+			d.Of("simple")[0].SetDefaultFault(fault)
 			for range 4 {
 				id, got := i.ask("repeat")
 				Expect(got).To(whole(id))
@@ -187,7 +187,7 @@
 
 	It("whose client leaves are ended at the endpoint", func() {
 		for _, e := range d.Of("simple") {
-			e.Always(platformtest.Hang)
+			e.SetDefaultFault(platformtest.Hang)
 		}
 		working := func() int { return d.Of("simple")[0].Working() + d.Of("simple")[1].Working() }
 		r, cancel := withCancel(i.request(http.MethodPost, "once", newID(), ""))
@@ -199,7 +199,7 @@
 
 	It("are answered when their time is over", func() {
 		for _, e := range d.Of("simple") {
-			e.Always(platformtest.Hang)
+			e.SetDefaultFault(platformtest.Hang)
 		}
 		r := i.request(http.MethodPost, "once", newID(), "")
 		r.Header.Set("Cobaltcroft-Deadline-Ms", "300")
@@ -225,7 +225,7 @@
 		})
 
 		It("go on at another engine after the last event", func() {
-			d.Of("model")[0].Always(platformtest.TruncateResponse)
+			d.Of("model")[0].SetDefaultFault(platformtest.TruncateResponse)
 			for range 3 {
 				id, got := i.ask("stream")
 				Expect(got).To(SatisfyAll(HaveField("Body", events(id, 8)), HaveField("Whole", true)))
@@ -234,7 +234,7 @@
 
 		It("that must not be resumed end so that they do not look complete", func() {
 			for _, e := range d.Of("model") {
-				e.Always(platformtest.TruncateResponse)
+				e.SetDefaultFault(platformtest.TruncateResponse)
 			}
 			id, got := i.ask("fixed")
 			Expect(got.Whole).To(BeFalse())
--- a/cmd/cobaltcroftd/gateway/rollout_test.go
+++ b/cmd/cobaltcroftd/gateway/rollout_test.go
@@ -245,7 +245,7 @@
 
 	It("of a version that fails is passed over by instances of which the first request comes later", func() {
 		d := deployRollout(1)
-		d.order("v2", 1, func(e *platformtest.Engine) { e.Always(platformtest.InternalError) })
+		d.order("v2", 1, func(e *platformtest.Engine) { e.SetDefaultFault(platformtest.InternalError) })
 		Eventually(d.readRecord).Should(Equal(rolloutRecord{"reverted", "v2"}))
 		before := d.awaitQuiet("v2")
 		for range 3 {
--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -98,7 +98,7 @@
 
 	It("go on at another engine with inputs made anew, when the stream breaks off", func() {
 		i := start(d.Address())
-		d.Of("model")[0].Always(platformtest.TruncateResponse)
+		d.Of("model")[0].SetDefaultFault(platformtest.TruncateResponse)
 		for range 4 {
 			id, got := staged(i)
 			served(id, got)
@@ -189,7 +189,7 @@
 
 	It("are given up, not run, while their callers have time to come back", func() {
 		for _, e := range d.Of("first") {
-			e.Always(platformtest.RejectNotRun)
+			e.SetDefaultFault(platformtest.RejectNotRun)
 		}
 		for n := range d.Config.Routes {
 			d.Config.Routes[n].TimeoutMs = 20_000
