--- a/cmd/cobaltcroftd/gateway/rollout_test.go
+++ b/cmd/cobaltcroftd/gateway/rollout_test.go
@@ -186,10 +186,10 @@
 			Expect(of).To(Equal(got))
 			Expect(d.readRecord()).To(Equal(rolloutRecord{"reverted", "v2"}))
 		},
-		Entry("that fails four answers in ten", func(e *platformtest.Engine) { e.Each(2, platformtest.InternalError) }),
+		Entry("that fails four answers in ten", func(e *platformtest.Engine) { e.SetPeriodicFault(2, platformtest.InternalError) }),
 		Entry("that is ten times as slow", func(e *platformtest.Engine) { e.SetTiming(80*time.Millisecond, 0) }),
 		Entry("that loses answers late", func(e *platformtest.Engine) {
-			time.AfterFunc(2500*time.Millisecond, func() { e.Each(2, platformtest.DropResponse) })
+			time.AfterFunc(2500*time.Millisecond, func() { e.SetPeriodicFault(2, platformtest.DropResponse) })
 		}),
 	)
 
