--- a/cmd/cobaltcroftd/gateway/evacuation_test.go
+++ b/cmd/cobaltcroftd/gateway/evacuation_test.go
@@ -42,7 +42,7 @@
 		n := 0
 		for _, e := range d.Engines {
 			if e.Settings().Zone == zone {
-				n += e.Arrived()
+				n += e.RequestCount()
 			}
 		}
 		return n
--- a/cmd/cobaltcroftd/gateway/lifecycle_test.go
+++ b/cmd/cobaltcroftd/gateway/lifecycle_test.go
@@ -86,11 +86,11 @@
 		d.Store.SetFault(platformtest.StoreWell)
 		// An instance starts watching one second after its start.
 		time.Sleep(2 * time.Second)
-		arrived := leaving.Arrived()
+		arrived := leaving.RequestCount()
 		for range 6 {
 			Expect(status(i, "once")()).To(Equal(http.StatusOK))
 		}
-		Expect(leaving.Arrived()).To(Equal(arrived))
+		Expect(leaving.RequestCount()).To(Equal(arrived))
 	})
 
 	It("reads a list of many pages", func() {
@@ -105,11 +105,11 @@
 		leaving := d.Of("simple")[0]
 		d.Store.Put("servers/"+leaving.ID, leaving.Entry("draining"))
 		Eventually(func() int {
-			before := leaving.Arrived()
+			before := leaving.RequestCount()
 			for range 4 {
 				Expect(status(i, "once")()).To(Equal(http.StatusOK))
 			}
-			return leaving.Arrived() - before
+			return leaving.RequestCount() - before
 		}).WithTimeout(2 * time.Second).Should(BeZero())
 	})
 
--- a/cmd/cobaltcroftd/gateway/limits_test.go
+++ b/cmd/cobaltcroftd/gateway/limits_test.go
@@ -107,12 +107,12 @@
 		limited.LimitTo(limit)
 		Eventually(func() int { instances[0].ask("once"); return limited.LimitsTold() }).ShouldNot(BeZero())
 		Eventually(func() string { return instances[1].get("/metrics") }).Should(ContainSubstring("cobaltcroft_endpoints_limited 1"))
-		before := limited.Arrived()
+		before := limited.RequestCount()
 		for range 50 {
 			_, got := instances[1].ask("once")
 			Expect(got.Status).To(Equal(http.StatusOK))
 		}
-		Expect(limited.Arrived()-before).To(BeNumerically("<=", 2), "of 25")
+		Expect(limited.RequestCount()-before).To(BeNumerically("<=", 2), "of 25")
 		Expect(instances[1].get("/notices")).To(ContainSubstring(`"limit":1`))
 	})
 
@@ -122,10 +122,10 @@
 		ask(from.Add(time.Second), "once")
 		Expect(limited.LimitsTold()).NotTo(BeZero())
 		limited.LimitTo(-1)
-		before := limited.Arrived()
+		before := limited.RequestCount()
 		Eventually(func() int {
 			ask(time.Now().Add(100*time.Millisecond), "once")
-			return limited.Arrived() - before
+			return limited.RequestCount() - before
 		}).Should(BeNumerically(">", 50))
 	})
 })
--- a/cmd/cobaltcroftd/gateway/notices_test.go
+++ b/cmd/cobaltcroftd/gateway/notices_test.go
@@ -40,7 +40,7 @@
 	arrived := func(engines []*platformtest.Engine) int {
 		n := 0
 		for _, e := range engines {
-			n += e.Arrived()
+			n += e.RequestCount()
 		}
 		return n
 	}
@@ -49,8 +49,8 @@
 	reached := func(i *instance, engines []*platformtest.Engine) {
 		GinkgoHelper()
 		for _, e := range engines {
-			before := e.Arrived()
-			Eventually(func() int { traffic(i, kinds...); return e.Arrived() }).Should(BeNumerically(">", before))
+			before := e.RequestCount()
+			Eventually(func() int { traffic(i, kinds...); return e.RequestCount() }).Should(BeNumerically(">", before))
 		}
 	}
 
@@ -98,19 +98,19 @@
 		d.Store.SetFault(platformtest.StoreSilent)
 		leaving := d.Of("simple")[0]
 		leaving.Leave()
-		Eventually(func() int { first.ask("once"); return leaving.Arrived() }).ShouldNot(BeZero())
+		Eventually(func() int { first.ask("once"); return leaving.RequestCount() }).ShouldNot(BeZero())
 		Eventually(func() int {
-			before := leaving.Arrived()
+			before := leaving.RequestCount()
 			for range 8 {
 				Expect(send(other.request(http.MethodPost, "once", newID(), "")).Status).To(Equal(http.StatusOK))
 			}
-			return leaving.Arrived() - before
+			return leaving.RequestCount() - before
 		}).WithTimeout(2 * leaveBound).Should(BeZero())
-		before := leaving.Arrived()
+		before := leaving.RequestCount()
 		for range 50 {
 			other.ask("once")
 		}
-		Expect(leaving.Arrived()).To(Equal(before))
+		Expect(leaving.RequestCount()).To(Equal(before))
 	})
 
 	It("that they leave does not hold for an endpoint that starts again under the same id", func() {
--- a/cmd/cobaltcroftd/gateway/regions_test.go
+++ b/cmd/cobaltcroftd/gateway/regions_test.go
@@ -27,7 +27,7 @@
 		n := 0
 		for _, e := range d.Engines {
 			if e.Settings().Zone == zone {
-				n += e.Arrived() + len(e.Runs())
+				n += e.RequestCount() + len(e.Runs())
 			}
 		}
 		return n
--- a/cmd/cobaltcroftd/gateway/restart_test.go
+++ b/cmd/cobaltcroftd/gateway/restart_test.go
@@ -51,7 +51,7 @@
 		i = start(d.Address())
 	})
 
-	arrived := func() int { return d.Of("simple")[0].Arrived() }
+	arrived := func() int { return d.Of("simple")[0].RequestCount() }
 
 	ask := func() int { _, got := i.ask("once"); return got.Status }
 
--- a/cmd/cobaltcroftd/gateway/rollout_test.go
+++ b/cmd/cobaltcroftd/gateway/rollout_test.go
@@ -119,9 +119,9 @@
 // arrivals returns the number of requests received by a version, and in total.
 func (d *rolloutDeployment) arrivals(version string) (of, all int) {
 	for _, e := range d.Of("simple") {
-		all += e.Arrived()
+		all += e.RequestCount()
 		if e.Settings().Version == version {
-			of += e.Arrived()
+			of += e.RequestCount()
 		}
 	}
 	return of, all
--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -40,7 +40,7 @@
 	calls := func(service string) int {
 		n := 0
 		for _, e := range d.Of(service) {
-			n += e.Arrived()
+			n += e.RequestCount()
 		}
 		return n
 	}
