--- a/cmd/cobaltcroftd/gateway/evacuation_test.go
+++ b/cmd/cobaltcroftd/gateway/evacuation_test.go
@@ -84,7 +84,7 @@
 		working := func() int {
 			n := 0
 			for _, e := range d.Of("model") {
-				n += e.Working()
+				n += e.ActiveRequests()
 			}
 			return n
 		}
--- a/cmd/cobaltcroftd/gateway/lifecycle_test.go
+++ b/cmd/cobaltcroftd/gateway/lifecycle_test.go
@@ -138,7 +138,7 @@
 		id := newID()
 		done := make(chan answer, 1)
 		go func() { done <- send(i.request(http.MethodPost, "stream", id, "")) }()
-		Eventually(func() int { return d.Of("model")[0].Working() + d.Of("model")[1].Working() }).Should(Equal(1))
+		Eventually(func() int { return d.Of("model")[0].ActiveRequests() + d.Of("model")[1].ActiveRequests() }).Should(Equal(1))
 		i.signals <- syscall.SIGTERM
 		Eventually(i.ready).WithTimeout(time.Second).Should(BeFalse())
 		// The load balancer may still send new connections.
@@ -154,7 +154,7 @@
 		}
 		i := start(d.Address())
 		go send(i.request(http.MethodPost, "stream", newID(), ""))
-		Eventually(func() int { return d.Of("model")[0].Working() + d.Of("model")[1].Working() }).Should(Equal(1))
+		Eventually(func() int { return d.Of("model")[0].ActiveRequests() + d.Of("model")[1].ActiveRequests() }).Should(Equal(1))
 		i.signals <- syscall.SIGTERM
 		var id string
 		Eventually(func() int {
--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -258,7 +258,7 @@
 			e.QueueFaults(platformtest.Hang)
 			cut := make(chan answer, 1)
 			go func() { cut <- same() }()
-			Eventually(e.Working).Should(Equal(1))
+			Eventually(e.ActiveRequests).Should(Equal(1))
 			d.Store.Put("servers/"+e.ID, e.Entry("draining"))
 			Eventually(status).Should(Equal(http.StatusServiceUnavailable), "no endpoint is left")
 			e.Close()
--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -189,7 +189,7 @@
 		for _, e := range d.Of("simple") {
 			e.SetDefaultFault(platformtest.Hang)
 		}
-		working := func() int { return d.Of("simple")[0].Working() + d.Of("simple")[1].Working() }
+		working := func() int { return d.Of("simple")[0].ActiveRequests() + d.Of("simple")[1].ActiveRequests() }
 		r, cancel := withCancel(i.request(http.MethodPost, "once", newID(), ""))
 		go send(r)
 		Eventually(working).Should(Equal(1))
--- a/cmd/cobaltcroftd/gateway/rollout_test.go
+++ b/cmd/cobaltcroftd/gateway/rollout_test.go
@@ -145,7 +145,7 @@
 	n := 0
 	for _, e := range d.Of("simple") {
 		if e.Settings().Version == version {
-			n += e.Working()
+			n += e.ActiveRequests()
 		}
 	}
 	return n
