--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -32,7 +32,7 @@
 	kept := func() int {
 		n := 0
 		for _, e := range d.Engines {
-			n += e.Kept()
+			n += e.UnfreedResults()
 		}
 		return n
 	}
