--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -181,7 +181,7 @@
 			send(i.request(http.MethodPost, "once", newID(), body))
 		}
 		for _, e := range d.Of("simple") {
-			Expect(e.Broken()).To(BeEmpty())
+			Expect(e.Violations()).To(BeEmpty())
 		}
 	})
 
--- a/cmd/cobaltcroftd/gateway/restart_test.go
+++ b/cmd/cobaltcroftd/gateway/restart_test.go
@@ -36,7 +36,7 @@
 			Expect(ask()).To(Equal(http.StatusOK))
 		}
 		Expect(reborn.ID).To(Equal(old.ID))
-		Expect(reborn.Broken()).To(BeEmpty())
+		Expect(reborn.Violations()).To(BeEmpty())
 	})
 })
 
--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -67,7 +67,7 @@
 		Expect(run[0].Header.Get("Cobaltcroft-Inputs")).To(MatchRegexp("^[^,]+,[^,]+,[^,]+,[^,]+$"))
 		Eventually(kept).Should(BeZero())
 		for _, e := range d.Engines {
-			Expect(e.Broken()).To(BeEmpty())
+			Expect(e.Violations()).To(BeEmpty())
 		}
 	})
 
