--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -24,7 +24,7 @@
 	})
 
 	whole := func(id string) OmegaMatcher {
-		return SatisfyAll(HaveField("Status", http.StatusOK), HaveField("Body", platformtest.Body(id)), HaveField("Whole", true))
+		return SatisfyAll(HaveField("Status", http.StatusOK), HaveField("Body", platformtest.ResponseBody(id)), HaveField("Whole", true))
 	}
 
 	It("pass unchanged, with what the endpoint must know", func() {
