--- a/cmd/cobaltcroftd/gateway/suite_test.go
+++ b/cmd/cobaltcroftd/gateway/suite_test.go
@@ -179,7 +179,7 @@
 func events(id string, n int) string {
 	var b strings.Builder
 	for e := 1; e <= n; e++ {
-		b.WriteString(platformtest.Event(id, e))
+		b.WriteString(platformtest.StreamEvent(id, e))
 	}
 	return b.String()
 }
