--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -36,7 +36,7 @@
 	BeforeEach(func() {
 		d = deploy(endpoints)
 		for _, e := range d.Engines {
-			e.EndOn(fatal, nil)
+			e.CrashOn(fatal, nil)
 		}
 		instances = []*instance{start(d.Address())}
 		for range 2 {
@@ -157,7 +157,7 @@
 		Expect(json.Unmarshal([]byte(body), &list)).To(Succeed())
 		Expect(list).To(HaveExactElements(HaveField("Endpoints", HaveLen(crashed()))))
 		for _, e := range d.Engines {
-			e.EndOn("", nil)
+			e.CrashOn("", nil)
 		}
 		status, _ = callOperators(instances[0], http.MethodDelete, "/quarantine/"+list[0].Digest)
 		Expect(status).To(Equal(http.StatusNoContent))
--- a/cmd/cobaltcroftd/gateway/restart_test.go
+++ b/cmd/cobaltcroftd/gateway/restart_test.go
@@ -16,7 +16,7 @@
 		d := deploy(1)
 		i := start(d.Address())
 		old := d.Of("simple")[0]
-		old.EndOn(fatal, nil)
+		old.CrashOn(fatal, nil)
 		ask := func() int { _, got := i.ask("once"); return got.Status }
 		for range 3 {
 			Expect(ask()).To(Equal(http.StatusOK))
