--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -47,7 +47,7 @@
 	crashed := func() int {
 		n := 0
 		for _, e := range d.Engines {
-			if e.Ended() {
+			if e.Crashed() {
 				n++
 			}
 		}
@@ -62,7 +62,7 @@
 	// up a request after five unreachable endpoints.
 	removeEntries := func() {
 		for _, e := range d.Engines {
-			if e.Ended() {
+			if e.Crashed() {
 				d.Store.Remove("servers/" + e.ID)
 			}
 		}
