--- a/cmd/cobaltcroftd/gateway/notices_test.go
+++ b/cmd/cobaltcroftd/gateway/notices_test.go
@@ -118,7 +118,7 @@
 		leaving := d.Of("simple")[0]
 		leave(i, leaving)
 		leaving.Close()
-		reborn, err := leaving.Reborn()
+		reborn, err := leaving.Restart()
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(reborn.Close)
 		d.Store.Put("servers/"+reborn.ID, reborn.Entry("ready"))
--- a/cmd/cobaltcroftd/gateway/restart_test.go
+++ b/cmd/cobaltcroftd/gateway/restart_test.go
@@ -27,7 +27,7 @@
 			ask()
 			time.Sleep(10 * time.Millisecond)
 		}
-		reborn, err := old.Reborn()
+		reborn, err := old.Restart()
 		Expect(err).NotTo(HaveOccurred())
 		d.Engines = append(d.Engines, reborn)
 		d.Store.Put("servers/"+reborn.ID, reborn.Entry("ready"))
