--- a/cmd/cobaltcroftd/gateway/limits_test.go
+++ b/cmd/cobaltcroftd/gateway/limits_test.go
@@ -58,7 +58,7 @@
 	// limitAll sets the limit on engines and returns when it must be enforced.
 	limitAll := func(engines []*platformtest.Engine) time.Time {
 		for _, e := range engines {
-			e.LimitTo(limit)
+			e.SetLimit(limit)
 		}
 		return time.Now().Add(propagationBound)
 	}
@@ -104,7 +104,7 @@
 
 	It("are heeded by an instance that no answer has told", func() {
 		limited := d.Of("simple")[0]
-		limited.LimitTo(limit)
+		limited.SetLimit(limit)
 		Eventually(func() int { instances[0].ask("once"); return limited.LimitsTold() }).ShouldNot(BeZero())
 		Eventually(func() string { return instances[1].get("/metrics") }).Should(ContainSubstring("cobaltcroft_endpoints_limited 1"))
 		before := limited.RequestCount()
@@ -121,7 +121,7 @@
 		from := limitAll([]*platformtest.Engine{limited})
 		ask(from.Add(time.Second), "once")
 		Expect(limited.LimitsTold()).NotTo(BeZero())
-		limited.LimitTo(-1)
+		limited.SetLimit(-1)
 		before := limited.RequestCount()
 		Eventually(func() int {
 			ask(time.Now().Add(100*time.Millisecond), "once")
