--- a/cmd/cobaltcroftd/gateway/limits_test.go
+++ b/cmd/cobaltcroftd/gateway/limits_test.go
@@ -71,7 +71,7 @@
 		from := limitAll(limited)
 		Expect(ask(from.Add(window+time.Second), kinds...)).To(HaveEach(http.StatusOK))
 		for _, e := range limited {
-			Expect(e.LimitsTold()).NotTo(BeZero(), e.Service)
+			Expect(e.LimitResponses()).NotTo(BeZero(), e.Service)
 			Expect(e.MostCalls(window, from)).To(BeNumerically("<=", most), e.Service)
 		}
 	})
@@ -105,7 +105,7 @@
 	It("are heeded by an instance that no answer has told", func() {
 		limited := d.Of("simple")[0]
 		limited.SetLimit(limit)
-		Eventually(func() int { instances[0].ask("once"); return limited.LimitsTold() }).ShouldNot(BeZero())
+		Eventually(func() int { instances[0].ask("once"); return limited.LimitResponses() }).ShouldNot(BeZero())
 		Eventually(func() string { return instances[1].get("/metrics") }).Should(ContainSubstring("cobaltcroft_endpoints_limited 1"))
 		before := limited.RequestCount()
 		for range 50 {
@@ -120,7 +120,7 @@
 		limited := d.Of("simple")[0]
 		from := limitAll([]*platformtest.Engine{limited})
 		ask(from.Add(time.Second), "once")
-		Expect(limited.LimitsTold()).NotTo(BeZero())
+		Expect(limited.LimitResponses()).NotTo(BeZero())
 		limited.SetLimit(-1)
 		before := limited.RequestCount()
 		Eventually(func() int {
