--- a/cmd/cobaltcroftd/gateway/limits_test.go
+++ b/cmd/cobaltcroftd/gateway/limits_test.go
@@ -72,7 +72,7 @@
 		Expect(ask(from.Add(window+time.Second), kinds...)).To(HaveEach(http.StatusOK))
 		for _, e := range limited {
 			Expect(e.LimitResponses()).NotTo(BeZero(), e.Service)
-			Expect(e.MostCalls(window, from)).To(BeNumerically("<=", most), e.Service)
+			Expect(e.PeakCalls(window, from)).To(BeNumerically("<=", most), e.Service)
 		}
 	})
 
@@ -83,7 +83,7 @@
 		Eventually(func() []int { return ask(time.Now().Add(100*time.Millisecond), "once") }).Should(ContainElement(http.StatusOK))
 		statuses := ask(time.Now().Add(window+time.Second), "once")
 		for _, e := range d.Of("simple") {
-			Expect(e.MostCalls(window, from)).To(BeNumerically("<=", most))
+			Expect(e.PeakCalls(window, from)).To(BeNumerically("<=", most))
 		}
 		served := len(slices.DeleteFunc(slices.Clone(statuses), func(status int) bool { return status != http.StatusOK }))
 		Expect(served).To(BeNumerically(">=", 2*limit*int(window.Seconds())/2), "half of what the limits allow")
