--- a/cmd/cobaltcroftd/gateway/notices_test.go
+++ b/cmd/cobaltcroftd/gateway/notices_test.go
@@ -58,7 +58,7 @@
 	// to a free of results counts.
 	leave := func(i *instance, e *platformtest.Engine) {
 		GinkgoHelper()
-		e.Leave()
+		e.SetLeaving()
 		Eventually(func() int { traffic(i, kinds...); return e.LeavesTold() }).ShouldNot(BeZero())
 	}
 
@@ -97,7 +97,7 @@
 		other := start(d.Address(), first.Peers)
 		d.Store.SetFault(platformtest.StoreSilent)
 		leaving := d.Of("simple")[0]
-		leaving.Leave()
+		leaving.SetLeaving()
 		Eventually(func() int { first.ask("once"); return leaving.RequestCount() }).ShouldNot(BeZero())
 		Eventually(func() int {
 			before := leaving.RequestCount()
