--- a/cmd/cobaltcroftd/gateway/notices_test.go
+++ b/cmd/cobaltcroftd/gateway/notices_test.go
@@ -59,7 +59,7 @@
 	leave := func(i *instance, e *platformtest.Engine) {
 		GinkgoHelper()
 		e.SetLeaving()
-		Eventually(func() int { traffic(i, kinds...); return e.LeavesTold() }).ShouldNot(BeZero())
+		Eventually(func() int { traffic(i, kinds...); return e.LeavingResponses() }).ShouldNot(BeZero())
 	}
 
 	It("that they leave is heeded while the store is silent, and holds whatever it says later", func() {
