--- a/cmd/cobaltcroftd/gateway/notices_test.go
+++ b/cmd/cobaltcroftd/gateway/notices_test.go
@@ -131,9 +131,9 @@
 		for range 3 {
 			for _, e := range d.Of("simple") {
 				before := e.RestsAsked()
-				e.AskRest(short)
+				e.SetRetryAfter(short)
 				Eventually(func() int { i.ask("once"); return e.RestsAsked() - before }).ShouldNot(BeZero())
-				e.AskRest(0)
+				e.SetRetryAfter(0)
 			}
 			_, got := i.ask("once")
 			Expect(got.Status).To(Equal(http.StatusOK))
@@ -147,7 +147,7 @@
 		i := start(d.Address())
 		leaving, resting := d.Of("simple")[0], d.Of("model")[0]
 		leave(i, leaving)
-		resting.AskRest(time.Minute)
+		resting.SetRetryAfter(time.Minute)
 		Eventually(func() int { traffic(i, kinds...); return resting.RestsAsked() }).ShouldNot(BeZero())
 		var list []struct {
 			Endpoint string
@@ -168,13 +168,13 @@
 	It("that all the readers of a request want rest has it refused before its stages are made", func() {
 		i := start(d.Address())
 		for _, e := range d.Of("model") {
-			e.AskRest(rest)
+			e.SetRetryAfter(rest)
 		}
 		for _, e := range d.Of("model") {
 			Eventually(func() int { i.ask("stream"); return e.RestsAsked() }).ShouldNot(BeZero())
 		}
 		for _, e := range d.Of("model") {
-			e.AskRest(0)
+			e.SetRetryAfter(0)
 		}
 		before := arrived(d.Of("first"))
 		Expect(send(i.staged(newID())).Status).To(Equal(http.StatusServiceUnavailable))
@@ -184,7 +184,7 @@
 	It("that all the makers of a stage want rest has requests refused at once", func() {
 		i := start(d.Address())
 		for _, e := range d.Of("second") {
-			e.AskRest(rest)
+			e.SetRetryAfter(rest)
 		}
 		for _, e := range d.Of("second") {
 			Eventually(func() int { traffic(i, kinds...); return e.RestsAsked() }).ShouldNot(BeZero())
@@ -201,7 +201,7 @@
 	It("that they want rest is heeded, by calls of all kinds, for as long as they ask", func() {
 		i := start(d.Address())
 		for _, e := range firstEndpoints() {
-			e.AskRest(rest)
+			e.SetRetryAfter(rest)
 		}
 		for _, e := range firstEndpoints() {
 			Eventually(func() int { traffic(i, kinds...); return e.RestsAsked() }).ShouldNot(BeZero())
@@ -212,7 +212,7 @@
 		}
 		for _, e := range firstEndpoints() {
 			Expect(e.Disturbed()).To(BeZero(), "calls to an endpoint of %s that wants rest", e.Service)
-			e.AskRest(0)
+			e.SetRetryAfter(0)
 		}
 		reached(i, firstEndpoints())
 	})
@@ -220,7 +220,7 @@
 	It("that all of a service want rest has requests refused at once, until the first has had it", func() {
 		i := start(d.Address())
 		for _, e := range d.Of("simple") {
-			e.AskRest(rest)
+			e.SetRetryAfter(rest)
 		}
 		for _, e := range d.Of("simple") {
 			Eventually(func() int { i.ask("once"); return e.RestsAsked() }).ShouldNot(BeZero())
@@ -237,7 +237,7 @@
 		}
 		for _, e := range d.Of("simple") {
 			Expect(e.Disturbed()).To(BeZero())
-			e.AskRest(0)
+			e.SetRetryAfter(0)
 		}
 		Eventually(func() int {
 			_, got := i.ask("once")
