--- a/cmd/cobaltcroftd/gateway/notices_test.go
+++ b/cmd/cobaltcroftd/gateway/notices_test.go
@@ -161,7 +161,7 @@
 		Expect(list[1].Endpoint).To(HavePrefix(resting.ID))
 		Expect(list[1].RestMs).To(BeNumerically("~", 55_000, 5_000))
 		Expect(i.get("/metrics")).To(SatisfyAll(ContainSubstring("cobaltcroft_endpoints_departing 1"), ContainSubstring("cobaltcroft_endpoints_resting 1"), ContainSubstring("cobaltcroft_notices_unread_total 0")))
-		d.Of("simple")[1].AskRestIn("a while")
+		d.Of("simple")[1].SetMalformedRetryAfter("a while")
 		Eventually(func() string { i.ask("once"); return i.get("/metrics") }).Should(MatchRegexp("cobaltcroft_notices_unread_total [1-9]"))
 	})
 
