--- a/cmd/cobaltcroftd/gateway/notices_test.go
+++ b/cmd/cobaltcroftd/gateway/notices_test.go
@@ -130,9 +130,9 @@
 		i := start(d.Address())
 		for range 3 {
 			for _, e := range d.Of("simple") {
-				before := e.RestsAsked()
+				before := e.RetryAfterResponses()
 				e.SetRetryAfter(short)
-				Eventually(func() int { i.ask("once"); return e.RestsAsked() - before }).ShouldNot(BeZero())
+				Eventually(func() int { i.ask("once"); return e.RetryAfterResponses() - before }).ShouldNot(BeZero())
 				e.SetRetryAfter(0)
 			}
 			_, got := i.ask("once")
@@ -148,7 +148,7 @@
 		leaving, resting := d.Of("simple")[0], d.Of("model")[0]
 		leave(i, leaving)
 		resting.SetRetryAfter(time.Minute)
-		Eventually(func() int { traffic(i, kinds...); return resting.RestsAsked() }).ShouldNot(BeZero())
+		Eventually(func() int { traffic(i, kinds...); return resting.RetryAfterResponses() }).ShouldNot(BeZero())
 		var list []struct {
 			Endpoint string
 			Leaving  bool
@@ -171,7 +171,7 @@
 			e.SetRetryAfter(rest)
 		}
 		for _, e := range d.Of("model") {
-			Eventually(func() int { i.ask("stream"); return e.RestsAsked() }).ShouldNot(BeZero())
+			Eventually(func() int { i.ask("stream"); return e.RetryAfterResponses() }).ShouldNot(BeZero())
 		}
 		for _, e := range d.Of("model") {
 			e.SetRetryAfter(0)
@@ -187,7 +187,7 @@
 			e.SetRetryAfter(rest)
 		}
 		for _, e := range d.Of("second") {
-			Eventually(func() int { traffic(i, kinds...); return e.RestsAsked() }).ShouldNot(BeZero())
+			Eventually(func() int { traffic(i, kinds...); return e.RetryAfterResponses() }).ShouldNot(BeZero())
 		}
 		began := time.Now()
 		refused := send(i.staged(newID()))
@@ -204,7 +204,7 @@
 			e.SetRetryAfter(rest)
 		}
 		for _, e := range firstEndpoints() {
-			Eventually(func() int { traffic(i, kinds...); return e.RestsAsked() }).ShouldNot(BeZero())
+			Eventually(func() int { traffic(i, kinds...); return e.RetryAfterResponses() }).ShouldNot(BeZero())
 		}
 		until := time.Now().Add(rest)
 		for time.Now().Before(until) {
@@ -223,7 +223,7 @@
 			e.SetRetryAfter(rest)
 		}
 		for _, e := range d.Of("simple") {
-			Eventually(func() int { i.ask("once"); return e.RestsAsked() }).ShouldNot(BeZero())
+			Eventually(func() int { i.ask("once"); return e.RetryAfterResponses() }).ShouldNot(BeZero())
 		}
 		until := time.Now().Add(rest - time.Second)
 		for time.Now().Before(until) {
