--- a/cmd/cobaltcroftd/gateway/notices_test.go
+++ b/cmd/cobaltcroftd/gateway/notices_test.go
@@ -139,7 +139,7 @@
 			Expect(got.Status).To(Equal(http.StatusOK))
 		}
 		for _, e := range d.Of("simple") {
-			Expect(e.Disturbed()).To(BeZero())
+			Expect(e.BackoffViolations()).To(BeZero())
 		}
 	})
 
@@ -194,7 +194,7 @@
 		Expect(refused.Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(time.Since(began)).To(BeNumerically("<", rest/4))
 		for _, e := range d.Of("second") {
-			Expect(e.Disturbed()).To(BeZero())
+			Expect(e.BackoffViolations()).To(BeZero())
 		}
 	})
 
@@ -211,7 +211,7 @@
 			Expect(traffic(i, kinds...)).To(HaveEach(http.StatusOK))
 		}
 		for _, e := range firstEndpoints() {
-			Expect(e.Disturbed()).To(BeZero(), "calls to an endpoint of %s that wants rest", e.Service)
+			Expect(e.BackoffViolations()).To(BeZero(), "calls to an endpoint of %s that wants rest", e.Service)
 			e.SetRetryAfter(0)
 		}
 		reached(i, firstEndpoints())
@@ -236,7 +236,7 @@
 			Expect(seconds).To(And(BeNumerically(">", 0), BeNumerically("<=", rest.Seconds())))
 		}
 		for _, e := range d.Of("simple") {
-			Expect(e.Disturbed()).To(BeZero())
+			Expect(e.BackoffViolations()).To(BeZero())
 			e.SetRetryAfter(0)
 		}
 		Eventually(func() int {
