--- a/cmd/cobaltcroftd/gateway/lifecycle_test.go
+++ b/cmd/cobaltcroftd/gateway/lifecycle_test.go
@@ -41,11 +41,11 @@
 	It("applies new versions of the configuration, and removes what they omit", func() {
 		i := start(d.Address())
 		d.Config.Routes[0].PathPrefix = "/moved/"
-		d.Put()
+		d.PutConfig()
 		Eventually(status(i, "moved")).WithTimeout(2 * time.Second).Should(Equal(http.StatusOK))
 		Expect(status(i, "once")()).To(Equal(http.StatusNotFound))
 		d.Config.Tenants = []map[string]any{{"Name": "other", "ApiKeys": []string{"another key"}}}
-		d.Put()
+		d.PutConfig()
 		Eventually(status(i, "moved")).WithTimeout(2 * time.Second).Should(Equal(http.StatusUnauthorized))
 	})
 
@@ -67,7 +67,7 @@
 			d.Store.SetFault(fault)
 			Consistently(status(i, "once")).WithTimeout(300 * time.Millisecond).Should(Equal(http.StatusOK))
 			d.Config.Routes[0].PathPrefix = "/moved/"
-			d.Put()
+			d.PutConfig()
 			d.Store.SetFault(platformtest.StoreWell)
 			Eventually(status(i, "moved")).WithTimeout(4 * time.Second).Should(Equal(http.StatusOK))
 		},
@@ -119,7 +119,7 @@
 		Eventually(b.ready).Should(BeTrue())
 		Eventually(status(b, "once")).Should(Equal(http.StatusOK))
 		d.Config.Routes[0].PathPrefix = "/moved/"
-		d.Put()
+		d.PutConfig()
 		Eventually(status(b, "moved")).WithTimeout(4 * time.Second).Should(Equal(http.StatusOK))
 	})
 
--- a/cmd/cobaltcroftd/gateway/regions_test.go
+++ b/cmd/cobaltcroftd/gateway/regions_test.go
@@ -21,7 +21,7 @@
 			d.Config.Routes[i].AllowedRegions = routes
 		}
 		d.Config.Tenants[0]["AllowedRegions"] = organisation
-		d.Put()
+		d.PutConfig()
 	}
 	reached := func(zone string) int {
 		n := 0
--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -164,7 +164,7 @@
 		for n := range d.Config.Routes {
 			d.Config.Routes[n].SloMs, d.Config.Routes[n].TimeoutMs = 200_000, 200_000
 		}
-		d.Put()
+		d.PutConfig()
 		i := start(d.Address())
 		type sent struct {
 			id string
@@ -194,7 +194,7 @@
 		for n := range d.Config.Routes {
 			d.Config.Routes[n].TimeoutMs = 20_000
 		}
-		d.Put()
+		d.PutConfig()
 		i := start(d.Address())
 		id := newID()
 		r := i.request(http.MethodPost, "staged", id, "")
@@ -213,7 +213,7 @@
 		for _, service := range d.Config.Services[2:] {
 			service["Segments"].(map[string]any)["CallMs"] = 2000.0
 		}
-		d.Put()
+		d.PutConfig()
 		Eventually(func() int {
 			id := newID()
 			r := i.request(http.MethodPost, "staged", id, "")
