--- a/cmd/cobaltcroftd/gateway/evacuation_test.go
+++ b/cmd/cobaltcroftd/gateway/evacuation_test.go
@@ -28,7 +28,7 @@
 		for _, s := range platformtest.Kinds() {
 			s.Zone = remoteDomain
 			for range 2 {
-				_, err := d.Add(s)
+				_, err := d.AddEngine(s)
 				Expect(err).NotTo(HaveOccurred())
 			}
 		}
@@ -117,7 +117,7 @@
 		for _, s := range platformtest.Kinds() {
 			if s.Kind == platformtest.Stage {
 				s.Zone = "zone-c"
-				_, err := d.Add(s)
+				_, err := d.AddEngine(s)
 				Expect(err).NotTo(HaveOccurred())
 			}
 		}
--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -263,7 +263,7 @@
 			Eventually(status).Should(Equal(http.StatusServiceUnavailable), "no endpoint is left")
 			e.Close()
 			Expect((<-cut).Status).To(Equal(http.StatusBadGateway))
-			_, err := d.Add(platformtest.Settings{Kind: platformtest.Simple, Service: "simple"})
+			_, err := d.AddEngine(platformtest.Settings{Kind: platformtest.Simple, Service: "simple"})
 			Expect(err).NotTo(HaveOccurred())
 		}
 		Eventually(status).Should(Equal(http.StatusOK))
--- a/cmd/cobaltcroftd/gateway/regions_test.go
+++ b/cmd/cobaltcroftd/gateway/regions_test.go
@@ -38,7 +38,7 @@
 		for _, s := range platformtest.Kinds() {
 			s.Zone = remoteDomain
 			for range 2 {
-				_, err := d.Add(s)
+				_, err := d.AddEngine(s)
 				Expect(err).NotTo(HaveOccurred())
 			}
 		}
--- a/cmd/cobaltcroftd/gateway/rollout_test.go
+++ b/cmd/cobaltcroftd/gateway/rollout_test.go
@@ -69,7 +69,7 @@
 
 // add starts an endpoint of a version.
 func (d *rolloutDeployment) add(version string) *platformtest.Engine {
-	e, err := d.Add(platformtest.Settings{Kind: platformtest.Simple, Service: "simple", Version: version, ProcessingTime: 8 * time.Millisecond})
+	e, err := d.AddEngine(platformtest.Settings{Kind: platformtest.Simple, Service: "simple", Version: version, ProcessingTime: 8 * time.Millisecond})
 	Expect(err).NotTo(HaveOccurred())
 	return e
 }
