--- a/cmd/cobaltcroftd/gateway/evacuation_test.go
+++ b/cmd/cobaltcroftd/gateway/evacuation_test.go
@@ -74,7 +74,7 @@
 	})
 
 	It("lets requests in flight finish", func() {
-		for _, e := range d.Of("model") {
+		for _, e := range d.EnginesOf("model") {
 			e.SetTiming(time.Millisecond, 300*time.Millisecond)
 		}
 		i := start(d.Address())
@@ -83,7 +83,7 @@
 		go func() { done <- send(i.request(http.MethodPost, "stream", id, "")) }()
 		working := func() int {
 			n := 0
-			for _, e := range d.Of("model") {
+			for _, e := range d.EnginesOf("model") {
 				n += e.ActiveRequests()
 			}
 			return n
--- a/cmd/cobaltcroftd/gateway/lifecycle_test.go
+++ b/cmd/cobaltcroftd/gateway/lifecycle_test.go
@@ -79,7 +79,7 @@
 
 	It("rereads everything when the store has compacted its history", func() {
 		i := start(d.Address())
-		leaving := d.Of("simple")[0]
+		leaving := d.EnginesOf("simple")[0]
 		d.Store.SetFault(platformtest.StoreReset)
 		d.Store.Put("servers/"+leaving.ID, leaving.Entry("draining"))
 		d.Store.Forget()
@@ -102,7 +102,7 @@
 
 	It("sends a draining engine nothing new, and lets it finish", func() {
 		i := start(d.Address())
-		leaving := d.Of("simple")[0]
+		leaving := d.EnginesOf("simple")[0]
 		d.Store.Put("servers/"+leaving.ID, leaving.Entry("draining"))
 		Eventually(func() int {
 			before := leaving.RequestCount()
@@ -131,14 +131,14 @@
 	})
 
 	It("stops as planned: unready at once, and nothing in flight is cut", func() {
-		for _, e := range d.Of("model") {
+		for _, e := range d.EnginesOf("model") {
 			e.SetTiming(time.Millisecond, 150*time.Millisecond)
 		}
 		i := start(d.Address())
 		id := newID()
 		done := make(chan answer, 1)
 		go func() { done <- send(i.request(http.MethodPost, "stream", id, "")) }()
-		Eventually(func() int { return d.Of("model")[0].ActiveRequests() + d.Of("model")[1].ActiveRequests() }).Should(Equal(1))
+		Eventually(func() int { return d.EnginesOf("model")[0].ActiveRequests() + d.EnginesOf("model")[1].ActiveRequests() }).Should(Equal(1))
 		i.signals <- syscall.SIGTERM
 		Eventually(i.ready).WithTimeout(time.Second).Should(BeFalse())
 		// The load balancer may still send new connections.
@@ -149,12 +149,12 @@
 	})
 
 	It("refuses, not run, what comes late in a planned stop", func() {
-		for _, e := range d.Of("model") {
+		for _, e := range d.EnginesOf("model") {
 			e.SetTiming(time.Millisecond, 500*time.Millisecond)
 		}
 		i := start(d.Address())
 		go send(i.request(http.MethodPost, "stream", newID(), ""))
-		Eventually(func() int { return d.Of("model")[0].ActiveRequests() + d.Of("model")[1].ActiveRequests() }).Should(Equal(1))
+		Eventually(func() int { return d.EnginesOf("model")[0].ActiveRequests() + d.EnginesOf("model")[1].ActiveRequests() }).Should(Equal(1))
 		i.signals <- syscall.SIGTERM
 		var id string
 		Eventually(func() int {
--- a/cmd/cobaltcroftd/gateway/limits_test.go
+++ b/cmd/cobaltcroftd/gateway/limits_test.go
@@ -66,7 +66,7 @@
 	It("are heeded by calls of all kinds, and the others serve what comes", func() {
 		var limited []*platformtest.Engine
 		for _, service := range []string{"simple", "model", "first", "second", "third"} {
-			limited = append(limited, d.Of(service)[0])
+			limited = append(limited, d.EnginesOf(service)[0])
 		}
 		from := limitAll(limited)
 		Expect(ask(from.Add(window+time.Second), kinds...)).To(HaveEach(http.StatusOK))
@@ -77,12 +77,12 @@
 	})
 
 	It("are heeded where all of a service name one: so many are served, the others refused at once", func() {
-		from := limitAll(d.Of("simple"))
+		from := limitAll(d.EnginesOf("simple"))
 		ask(from, "once")
 		By("waiting until instances that have just started know each other, and grant")
 		Eventually(func() []int { return ask(time.Now().Add(100*time.Millisecond), "once") }).Should(ContainElement(http.StatusOK))
 		statuses := ask(time.Now().Add(window+time.Second), "once")
-		for _, e := range d.Of("simple") {
+		for _, e := range d.EnginesOf("simple") {
 			Expect(e.PeakCalls(window, from)).To(BeNumerically("<=", most))
 		}
 		served := len(slices.DeleteFunc(slices.Clone(statuses), func(status int) bool { return status != http.StatusOK }))
@@ -103,7 +103,7 @@
 	})
 
 	It("are heeded by an instance that no answer has told", func() {
-		limited := d.Of("simple")[0]
+		limited := d.EnginesOf("simple")[0]
 		limited.SetLimit(limit)
 		Eventually(func() int { instances[0].ask("once"); return limited.LimitResponses() }).ShouldNot(BeZero())
 		Eventually(func() string { return instances[1].get("/metrics") }).Should(ContainSubstring("cobaltcroft_endpoints_limited 1"))
@@ -117,7 +117,7 @@
 	})
 
 	It("are over for all when an answer names none", func() {
-		limited := d.Of("simple")[0]
+		limited := d.EnginesOf("simple")[0]
 		from := limitAll([]*platformtest.Engine{limited})
 		ask(from.Add(time.Second), "once")
 		Expect(limited.LimitResponses()).NotTo(BeZero())
--- a/cmd/cobaltcroftd/gateway/notices_test.go
+++ b/cmd/cobaltcroftd/gateway/notices_test.go
@@ -32,7 +32,7 @@
 	firstEndpoints := func() []*platformtest.Engine {
 		var list []*platformtest.Engine
 		for _, service := range services {
-			list = append(list, d.Of(service)[0])
+			list = append(list, d.EnginesOf(service)[0])
 		}
 		return list
 	}
@@ -96,7 +96,7 @@
 		first := start(d.Address())
 		other := start(d.Address(), first.Peers)
 		d.Store.SetFault(platformtest.StoreSilent)
-		leaving := d.Of("simple")[0]
+		leaving := d.EnginesOf("simple")[0]
 		leaving.SetLeaving()
 		Eventually(func() int { first.ask("once"); return leaving.RequestCount() }).ShouldNot(BeZero())
 		Eventually(func() int {
@@ -115,7 +115,7 @@
 
 	It("that they leave does not hold for an endpoint that starts again under the same id", func() {
 		i := start(d.Address())
-		leaving := d.Of("simple")[0]
+		leaving := d.EnginesOf("simple")[0]
 		leave(i, leaving)
 		leaving.Close()
 		reborn, err := leaving.Restart()
@@ -129,7 +129,7 @@
 		const short = 200 * time.Millisecond
 		i := start(d.Address())
 		for range 3 {
-			for _, e := range d.Of("simple") {
+			for _, e := range d.EnginesOf("simple") {
 				before := e.RetryAfterResponses()
 				e.SetRetryAfter(short)
 				Eventually(func() int { i.ask("once"); return e.RetryAfterResponses() - before }).ShouldNot(BeZero())
@@ -138,14 +138,14 @@
 			_, got := i.ask("once")
 			Expect(got.Status).To(Equal(http.StatusOK))
 		}
-		for _, e := range d.Of("simple") {
+		for _, e := range d.EnginesOf("simple") {
 			Expect(e.BackoffViolations()).To(BeZero())
 		}
 	})
 
 	It("is listed for operators, and counted where it can't be read", func() {
 		i := start(d.Address())
-		leaving, resting := d.Of("simple")[0], d.Of("model")[0]
+		leaving, resting := d.EnginesOf("simple")[0], d.EnginesOf("model")[0]
 		leave(i, leaving)
 		resting.SetRetryAfter(time.Minute)
 		Eventually(func() int { traffic(i, kinds...); return resting.RetryAfterResponses() }).ShouldNot(BeZero())
@@ -161,39 +161,39 @@
 		Expect(list[1].Endpoint).To(HavePrefix(resting.ID))
 		Expect(list[1].RestMs).To(BeNumerically("~", 55_000, 5_000))
 		Expect(i.get("/metrics")).To(SatisfyAll(ContainSubstring("cobaltcroft_endpoints_departing 1"), ContainSubstring("cobaltcroft_endpoints_resting 1"), ContainSubstring("cobaltcroft_notices_unread_total 0")))
-		d.Of("simple")[1].SetMalformedRetryAfter("a while")
+		d.EnginesOf("simple")[1].SetMalformedRetryAfter("a while")
 		Eventually(func() string { i.ask("once"); return i.get("/metrics") }).Should(MatchRegexp("cobaltcroft_notices_unread_total [1-9]"))
 	})
 
 	It("that all the readers of a request want rest has it refused before its stages are made", func() {
 		i := start(d.Address())
-		for _, e := range d.Of("model") {
+		for _, e := range d.EnginesOf("model") {
 			e.SetRetryAfter(rest)
 		}
-		for _, e := range d.Of("model") {
+		for _, e := range d.EnginesOf("model") {
 			Eventually(func() int { i.ask("stream"); return e.RetryAfterResponses() }).ShouldNot(BeZero())
 		}
-		for _, e := range d.Of("model") {
+		for _, e := range d.EnginesOf("model") {
 			e.SetRetryAfter(0)
 		}
-		before := arrived(d.Of("first"))
+		before := arrived(d.EnginesOf("first"))
 		Expect(send(i.staged(newID())).Status).To(Equal(http.StatusServiceUnavailable))
-		Expect(arrived(d.Of("first"))).To(Equal(before))
+		Expect(arrived(d.EnginesOf("first"))).To(Equal(before))
 	})
 
 	It("that all the makers of a stage want rest has requests refused at once", func() {
 		i := start(d.Address())
-		for _, e := range d.Of("second") {
+		for _, e := range d.EnginesOf("second") {
 			e.SetRetryAfter(rest)
 		}
-		for _, e := range d.Of("second") {
+		for _, e := range d.EnginesOf("second") {
 			Eventually(func() int { traffic(i, kinds...); return e.RetryAfterResponses() }).ShouldNot(BeZero())
 		}
 		began := time.Now()
 		refused := send(i.staged(newID()))
 		Expect(refused.Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(time.Since(began)).To(BeNumerically("<", rest/4))
-		for _, e := range d.Of("second") {
+		for _, e := range d.EnginesOf("second") {
 			Expect(e.BackoffViolations()).To(BeZero())
 		}
 	})
@@ -219,10 +219,10 @@
 
 	It("that all of a service want rest has requests refused at once, until the first has had it", func() {
 		i := start(d.Address())
-		for _, e := range d.Of("simple") {
+		for _, e := range d.EnginesOf("simple") {
 			e.SetRetryAfter(rest)
 		}
-		for _, e := range d.Of("simple") {
+		for _, e := range d.EnginesOf("simple") {
 			Eventually(func() int { i.ask("once"); return e.RetryAfterResponses() }).ShouldNot(BeZero())
 		}
 		until := time.Now().Add(rest - time.Second)
@@ -235,7 +235,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(seconds).To(And(BeNumerically(">", 0), BeNumerically("<=", rest.Seconds())))
 		}
-		for _, e := range d.Of("simple") {
+		for _, e := range d.EnginesOf("simple") {
 			Expect(e.BackoffViolations()).To(BeZero())
 			e.SetRetryAfter(0)
 		}
--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -192,7 +192,7 @@
 		}
 		made := func() int {
 			n := 0
-			for _, e := range append(d.Of("first"), d.Of("third")...) {
+			for _, e := range append(d.EnginesOf("first"), d.EnginesOf("third")...) {
 				n += len(e.Runs())
 			}
 			return n
@@ -203,7 +203,7 @@
 	})
 
 	It("does not affect other requests", func() {
-		for _, e := range d.Of("model") {
+		for _, e := range d.EnginesOf("model") {
 			e.SetTiming(time.Millisecond, 60*time.Millisecond)
 		}
 		i := instances[0]
@@ -253,7 +253,7 @@
 		same := func() answer { return send(i.request(http.MethodPost, "once", newID(), "the same")) }
 		status := func() int { _, got := i.ask("once"); return got.Status }
 		for n := range 3 {
-			e := d.Of("simple")[n]
+			e := d.EnginesOf("simple")[n]
 			Eventually(status).Should(Equal(http.StatusOK))
 			e.QueueFaults(platformtest.Hang)
 			cut := make(chan answer, 1)
--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -107,7 +107,7 @@
 
 	DescribeTable("that must not be repeated run once at most",
 		func(fault platformtest.Fault, status int) {
-			for _, e := range d.Of("simple") {
+			for _, e := range d.EnginesOf("simple") {
 				e.QueueFaults(fault)
 			}
 			id, got := i.ask("once")
@@ -123,7 +123,7 @@
 	)
 
 	It("that were not run say when to come back", func() {
-		for _, e := range d.Of("simple") {
+		for _, e := range d.EnginesOf("simple") {
 			e.SetDefaultFault(platformtest.RejectNotRun)
 		}
 		id, got := i.ask("once")
@@ -133,7 +133,7 @@
 	})
 
 	It("that may have run are never told that they have not", func() {
-		for _, e := range d.Of("simple") {
+		for _, e := range d.EnginesOf("simple") {
 			e.SetDefaultFault(platformtest.DropResponse)
 		}
 		for range 4 {
@@ -145,8 +145,8 @@
 
 	DescribeTable("get their own whole answer",
 		func(route string, fault platformtest.Fault) {
-			d.Of("simple")[0].QueueFaults(fault)
-			d.Of("simple")[1].QueueFaults(fault)
+			d.EnginesOf("simple")[0].QueueFaults(fault)
+			d.EnginesOf("simple")[1].QueueFaults(fault)
 			for range 4 {
 				id, got := i.ask(route)
 				Expect(got).To(whole(id))
@@ -159,7 +159,7 @@
 
 	DescribeTable("that may be repeated go to another endpoint",
 		func(fault platformtest.Fault) {
-			d.Of("simple")[0].SetDefaultFault(fault)
+			d.EnginesOf("simple")[0].SetDefaultFault(fault)
 			for range 4 {
 				id, got := i.ask("repeat")
 				Expect(got).To(whole(id))
@@ -174,22 +174,24 @@
 
 	It("whose endpoint answers before it has read them leave nothing behind", func() {
 		body := strings.Repeat("long ", 100_000)
-		for _, e := range d.Of("simple") {
+		for _, e := range d.EnginesOf("simple") {
 			e.QueueFaults(platformtest.EarlyResponse, platformtest.EarlyResponse)
 		}
 		for range 6 {
 			send(i.request(http.MethodPost, "once", newID(), body))
 		}
-		for _, e := range d.Of("simple") {
+		for _, e := range d.EnginesOf("simple") {
 			Expect(e.Violations()).To(BeEmpty())
 		}
 	})
 
 	It("whose client leaves are ended at the endpoint", func() {
-		for _, e := range d.Of("simple") {
+		for _, e := range d.EnginesOf("simple") {
 			e.SetDefaultFault(platformtest.Hang)
 		}
-		working := func() int { return d.Of("simple")[0].ActiveRequests() + d.Of("simple")[1].ActiveRequests() }
+		working := func() int {
+			return d.EnginesOf("simple")[0].ActiveRequests() + d.EnginesOf("simple")[1].ActiveRequests()
+		}
 		r, cancel := withCancel(i.request(http.MethodPost, "once", newID(), ""))
 		go send(r)
 		Eventually(working).Should(Equal(1))
@@ -198,7 +200,7 @@
 	})
 
 	It("are answered when their time is over", func() {
-		for _, e := range d.Of("simple") {
+		for _, e := range d.EnginesOf("simple") {
 			e.SetDefaultFault(platformtest.Hang)
 		}
 		r := i.request(http.MethodPost, "once", newID(), "")
@@ -207,8 +209,8 @@
 	})
 
 	It("do not run at another engine that has got the address", func() {
-		old := d.Of("simple")[0]
-		d.Store.Remove("servers/" + d.Of("simple")[1].ID)
+		old := d.EnginesOf("simple")[0]
+		d.Store.Remove("servers/" + d.EnginesOf("simple")[1].ID)
 		old.ReplaceIncarnation()
 		// The store still lists the old incarnation.
 		Eventually(func() int {
@@ -225,7 +227,7 @@
 		})
 
 		It("go on at another engine after the last event", func() {
-			d.Of("model")[0].SetDefaultFault(platformtest.TruncateResponse)
+			d.EnginesOf("model")[0].SetDefaultFault(platformtest.TruncateResponse)
 			for range 3 {
 				id, got := i.ask("stream")
 				Expect(got).To(SatisfyAll(HaveField("Body", events(id, 8)), HaveField("Whole", true)))
@@ -233,7 +235,7 @@
 		})
 
 		It("that must not be resumed end so that they do not look complete", func() {
-			for _, e := range d.Of("model") {
+			for _, e := range d.EnginesOf("model") {
 				e.SetDefaultFault(platformtest.TruncateResponse)
 			}
 			id, got := i.ask("fixed")
--- a/cmd/cobaltcroftd/gateway/restart_test.go
+++ b/cmd/cobaltcroftd/gateway/restart_test.go
@@ -15,7 +15,7 @@
 		const fatal = "what it does not bear"
 		d := deploy(1)
 		i := start(d.Address())
-		old := d.Of("simple")[0]
+		old := d.EnginesOf("simple")[0]
 		old.CrashOn(fatal, nil)
 		ask := func() int { _, got := i.ask("once"); return got.Status }
 		for range 3 {
@@ -51,13 +51,13 @@
 		i = start(d.Address())
 	})
 
-	arrived := func() int { return d.Of("simple")[0].RequestCount() }
+	arrived := func() int { return d.EnginesOf("simple")[0].RequestCount() }
 
 	ask := func() int { _, got := i.ask("once"); return got.Status }
 
 	DescribeTable("names no endpoint to use, and the others hold",
 		func(entry string) {
-			e := d.Of("simple")[0]
+			e := d.EnginesOf("simple")[0]
 			Eventually(func() int { ask(); return arrived() }).Should(BeNumerically(">", 0))
 			d.Store.PutRaw("servers/"+e.ID, []byte(entry))
 			d.Store.PutRaw("servers/unheard-of", []byte(entry))
@@ -71,7 +71,7 @@
 			// The endpoint is used again once its entry is valid. The other one leaves, so that
 			// load balancing cannot avoid this one.
 			d.Store.Put("servers/"+e.ID, e.Entry("ready"))
-			other := d.Of("simple")[1]
+			other := d.EnginesOf("simple")[1]
 			d.Store.Put("servers/"+other.ID, other.Entry("draining"))
 			Eventually(func() int { ask(); return arrived() }).Should(BeNumerically(">", before))
 		},
@@ -82,7 +82,7 @@
 	)
 
 	It("is passed over by an instance that starts after it, too", func() {
-		d.Store.PutRaw("servers/"+d.Of("simple")[0].ID, []byte("no entry"))
+		d.Store.PutRaw("servers/"+d.EnginesOf("simple")[0].ID, []byte("no entry"))
 		later := start(d.Address())
 		for range 6 {
 			_, got := later.ask("once")
--- a/cmd/cobaltcroftd/gateway/rollout_test.go
+++ b/cmd/cobaltcroftd/gateway/rollout_test.go
@@ -118,7 +118,7 @@
 
 // arrivals returns the number of requests received by a version, and in total.
 func (d *rolloutDeployment) arrivals(version string) (of, all int) {
-	for _, e := range d.Of("simple") {
+	for _, e := range d.EnginesOf("simple") {
 		all += e.RequestCount()
 		if e.Settings().Version == version {
 			of += e.RequestCount()
@@ -143,7 +143,7 @@
 
 func (d *rolloutDeployment) working(version string) int {
 	n := 0
-	for _, e := range d.Of("simple") {
+	for _, e := range d.EnginesOf("simple") {
 		if e.Settings().Version == version {
 			n += e.ActiveRequests()
 		}
@@ -232,7 +232,7 @@
 		d := deployRollout(1)
 		d.order("v2", 3, well)
 		Eventually(d.readRecord).Should(Equal(rolloutRecord{"completed", "v2"}))
-		for _, e := range d.Of("simple")[:3] {
+		for _, e := range d.EnginesOf("simple")[:3] {
 			d.Store.Remove("servers/" + e.ID)
 			e.Close()
 		}
--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -39,7 +39,7 @@
 
 	calls := func(service string) int {
 		n := 0
-		for _, e := range d.Of(service) {
+		for _, e := range d.EnginesOf(service) {
 			n += e.RequestCount()
 		}
 		return n
@@ -74,7 +74,7 @@
 	DescribeTable("are served though an endpoint fails",
 		func(service string, fault platformtest.Fault) {
 			i := start(d.Address())
-			for _, e := range d.Of(service) {
+			for _, e := range d.EnginesOf(service) {
 				e.QueueFaults(fault)
 			}
 			id, got := staged(i)
@@ -89,7 +89,7 @@
 
 	It("are made again when an engine says that an input is gone", func() {
 		i := start(d.Address())
-		d.Of("model")[0].QueueFaults(platformtest.MissingInput)
+		d.EnginesOf("model")[0].QueueFaults(platformtest.MissingInput)
 		for range 4 {
 			id, got := staged(i)
 			served(id, got)
@@ -98,7 +98,7 @@
 
 	It("go on at another engine with inputs made anew, when the stream breaks off", func() {
 		i := start(d.Address())
-		d.Of("model")[0].SetDefaultFault(platformtest.TruncateResponse)
+		d.EnginesOf("model")[0].SetDefaultFault(platformtest.TruncateResponse)
 		for range 4 {
 			id, got := staged(i)
 			served(id, got)
@@ -113,7 +113,7 @@
 		a := start(d.Address())
 		b := start(d.Address(), a.Peers)
 		// Until the instances know each other each makes its own calls, which is allowed.
-		for _, e := range append(d.Of("first"), d.Of("second")...) {
+		for _, e := range append(d.EnginesOf("first"), d.EnginesOf("second")...) {
 			e.SetTiming(60*time.Millisecond, 0)
 		}
 		var group sync.WaitGroup
@@ -135,7 +135,7 @@
 	It("go on when the instance that makes their stages dies", func() {
 		a := start(d.Address())
 		b := start(d.Address(), a.Peers)
-		for _, e := range append(d.Of("first"), d.Of("second")...) {
+		for _, e := range append(d.EnginesOf("first"), d.EnginesOf("second")...) {
 			e.SetTiming(100*time.Millisecond, 0)
 		}
 		var ok atomic.Int32
@@ -155,7 +155,7 @@
 	})
 
 	It("are refused, not run, before a planned stop ends that would cut them", func() {
-		for _, e := range d.Of("second") {
+		for _, e := range d.EnginesOf("second") {
 			e.SetTiming(20*time.Second, 0)
 		}
 		for _, service := range d.Config.Services[2:] {
@@ -188,7 +188,7 @@
 	})
 
 	It("are given up, not run, while their callers have time to come back", func() {
-		for _, e := range d.Of("first") {
+		for _, e := range d.EnginesOf("first") {
 			e.SetDefaultFault(platformtest.RejectNotRun)
 		}
 		for n := range d.Config.Routes {
