--- a/cmd/cobaltcroftd/gateway/evacuation_test.go
+++ b/cmd/cobaltcroftd/gateway/evacuation_test.go
@@ -25,7 +25,7 @@
 
 	BeforeEach(func() {
 		d = deploy(2)
-		for _, s := range platformtest.Kinds() {
+		for _, s := range platformtest.ServiceSettings() {
 			s.Zone = remoteDomain
 			for range 2 {
 				_, err := d.AddEngine(s)
@@ -114,7 +114,7 @@
 	})
 
 	It("of all engines has no stage made for them, though the stages' own endpoints are not evacuated", func() {
-		for _, s := range platformtest.Kinds() {
+		for _, s := range platformtest.ServiceSettings() {
 			if s.Kind == platformtest.Stage {
 				s.Zone = "zone-c"
 				_, err := d.AddEngine(s)
--- a/cmd/cobaltcroftd/gateway/regions_test.go
+++ b/cmd/cobaltcroftd/gateway/regions_test.go
@@ -35,7 +35,7 @@
 
 	BeforeEach(func() {
 		d = deploy(2)
-		for _, s := range platformtest.Kinds() {
+		for _, s := range platformtest.ServiceSettings() {
 			s.Zone = remoteDomain
 			for range 2 {
 				_, err := d.AddEngine(s)
