--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -94,7 +94,7 @@
 		ids := []string{newID(), newID(), newID()}
 		var all strings.Builder
 		for _, id := range ids {
-			all.WriteString("GET /repeat/x HTTP/1.1\r\nHost: " + platformtest.Host + "\r\nAuthorization: Bearer " + platformtest.Key + "\r\nCobaltcroft-Request-Id: " + id + "\r\n\r\n")
+			all.WriteString("GET /repeat/x HTTP/1.1\r\nHost: " + platformtest.Host + "\r\nAuthorization: Bearer " + platformtest.APIKey + "\r\nCobaltcroft-Request-Id: " + id + "\r\n\r\n")
 		}
 		_, reader := i.raw(all.String())
 		for _, id := range ids {
--- a/cmd/cobaltcroftd/gateway/suite_test.go
+++ b/cmd/cobaltcroftd/gateway/suite_test.go
@@ -111,7 +111,7 @@
 	r, err := http.NewRequest(method, "http://"+i.Requests+"/"+route+"/x", strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	r.Host = platformtest.Host
-	r.Header.Set("Authorization", "Bearer "+platformtest.Key)
+	r.Header.Set("Authorization", "Bearer "+platformtest.APIKey)
 	r.Header.Set("Cobaltcroft-Request-Id", id)
 	r.Header.Set("Cobaltcroft-Deadline-Ms", "5000")
 	return r
