--- a/cmd/cobaltcroftd/gateway/evacuation_test.go
+++ b/cmd/cobaltcroftd/gateway/evacuation_test.go
@@ -152,7 +152,7 @@
 		evacuate(localDomain)
 		restore(remoteDomain)
 		d.Store.Forget()
-		d.Store.SetFault(platformtest.StoreWell)
+		d.Store.SetFault(platformtest.StoreHealthy)
 		Consistently(arrivals(i, localDomain)).WithTimeout(2500 * time.Millisecond).Should(BeZero())
 		Expect(arrivals(i, remoteDomain)()).NotTo(BeZero())
 	})
--- a/cmd/cobaltcroftd/gateway/lifecycle_test.go
+++ b/cmd/cobaltcroftd/gateway/lifecycle_test.go
@@ -33,7 +33,7 @@
 		Expect(got).To(SatisfyAll(HaveField("Status", http.StatusServiceUnavailable), HaveField("Body", ContainSubstring("no_configuration"))))
 		Expect(got.Header.Get("Retry-After")).NotTo(BeEmpty())
 		Expect(i.ready()).To(BeFalse())
-		d.Store.SetFault(platformtest.StoreWell)
+		d.Store.SetFault(platformtest.StoreHealthy)
 		Eventually(i.ready).Should(BeTrue())
 		Eventually(status(i, "once")).Should(Equal(http.StatusOK))
 	})
@@ -68,7 +68,7 @@
 			Consistently(status(i, "once")).WithTimeout(300 * time.Millisecond).Should(Equal(http.StatusOK))
 			d.Config.Routes[0].PathPrefix = "/moved/"
 			d.PutConfig()
-			d.Store.SetFault(platformtest.StoreWell)
+			d.Store.SetFault(platformtest.StoreHealthy)
 			Eventually(status(i, "moved")).WithTimeout(4 * time.Second).Should(Equal(http.StatusOK))
 		},
 		Entry("with 503", platformtest.StoreBusy),
@@ -83,7 +83,7 @@
 		d.Store.SetFault(platformtest.StoreReset)
 		d.Store.Put("servers/"+leaving.ID, leaving.Entry("draining"))
 		d.Store.Forget()
-		d.Store.SetFault(platformtest.StoreWell)
+		d.Store.SetFault(platformtest.StoreHealthy)
 		// An instance starts watching one second after its start.
 		time.Sleep(2 * time.Second)
 		arrived := leaving.RequestCount()
--- a/cmd/cobaltcroftd/gateway/notices_test.go
+++ b/cmd/cobaltcroftd/gateway/notices_test.go
@@ -79,7 +79,7 @@
 			Expect(traffic(i, kinds...)).To(HaveEach(http.StatusOK))
 		}
 		By("entries that still call them ready")
-		d.Store.SetFault(platformtest.StoreWell)
+		d.Store.SetFault(platformtest.StoreHealthy)
 		for _, e := range firstEndpoints() {
 			entry := e.Entry("ready")
 			entry["Seq"], entry["Slots"] = 2, 9
--- a/cmd/cobaltcroftd/gateway/rollout_test.go
+++ b/cmd/cobaltcroftd/gateway/rollout_test.go
@@ -197,7 +197,7 @@
 		d := deployRollout(1)
 		d.Store.SetFault(platformtest.StoreSilent)
 		Eventually(d.instances[0].ready).Should(BeTrue())
-		d.Store.SetFault(platformtest.StoreWell)
+		d.Store.SetFault(platformtest.StoreHealthy)
 		d.order("v2", 3, well)
 		Eventually(d.readRecord).Should(Equal(rolloutRecord{"running", "v2"}))
 		d.Store.SetFault(platformtest.StoreSilent)
@@ -205,7 +205,7 @@
 		time.Sleep(4600 * time.Millisecond)
 		before, _ := d.arrivals("v2")
 		Consistently(func() int { of, _ := d.arrivals("v2"); return of }).WithTimeout(time.Second).Should(Equal(before))
-		d.Store.SetFault(platformtest.StoreWell)
+		d.Store.SetFault(platformtest.StoreHealthy)
 		Eventually(d.readRecord).WithTimeout(20 * time.Second).Should(Equal(rolloutRecord{"completed", "v2"}))
 	})
 
