--- a/cmd/cobaltcroftd/gateway/lifecycle_test.go
+++ b/cmd/cobaltcroftd/gateway/lifecycle_test.go
@@ -27,7 +27,7 @@
 	}
 
 	It("is not ready and answers 503 until it has a configuration", func() {
-		d.Store.SetFault(platformtest.StoreBusy)
+		d.Store.SetFault(platformtest.StoreUnavailable)
 		i := launch(d.Address())
 		_, got := i.ask("once")
 		Expect(got).To(SatisfyAll(HaveField("Status", http.StatusServiceUnavailable), HaveField("Body", ContainSubstring("no_configuration"))))
@@ -71,7 +71,7 @@
 			d.Store.SetFault(platformtest.StoreHealthy)
 			Eventually(status(i, "moved")).WithTimeout(4 * time.Second).Should(Equal(http.StatusOK))
 		},
-		Entry("with 503", platformtest.StoreBusy),
+		Entry("with 503", platformtest.StoreUnavailable),
 		Entry("with 429", platformtest.StoreMany),
 		Entry("without a reply", platformtest.StoreSilent),
 		Entry("with resets", platformtest.StoreReset),
