--- a/cmd/cobaltcroftd/gateway/lifecycle_test.go
+++ b/cmd/cobaltcroftd/gateway/lifecycle_test.go
@@ -72,7 +72,7 @@
 			Eventually(status(i, "moved")).WithTimeout(4 * time.Second).Should(Equal(http.StatusOK))
 		},
 		Entry("with 503", platformtest.StoreUnavailable),
-		Entry("with 429", platformtest.StoreMany),
+		Entry("with 429", platformtest.StoreRateLimited),
 		Entry("without a reply", platformtest.StoreSilent),
 		Entry("with resets", platformtest.StoreReset),
 	)
