--- a/cmd/cobaltcroftd/gateway/evacuation_test.go
+++ b/cmd/cobaltcroftd/gateway/evacuation_test.go
@@ -145,7 +145,7 @@
 		i := start(d.Address())
 		evacuate(localDomain)
 		Eventually(arrivals(i, localDomain)).WithTimeout(evacuationBound).Should(BeZero())
-		d.Store.SetFault(platformtest.StoreSilent)
+		d.Store.SetFault(platformtest.StoreHang)
 		Consistently(arrivals(i, localDomain)).WithTimeout(2500 * time.Millisecond).Should(BeZero())
 		restore(localDomain)
 		evacuate(remoteDomain)
--- a/cmd/cobaltcroftd/gateway/lifecycle_test.go
+++ b/cmd/cobaltcroftd/gateway/lifecycle_test.go
@@ -73,7 +73,7 @@
 		},
 		Entry("with 503", platformtest.StoreUnavailable),
 		Entry("with 429", platformtest.StoreRateLimited),
-		Entry("without a reply", platformtest.StoreSilent),
+		Entry("without a reply", platformtest.StoreHang),
 		Entry("with resets", platformtest.StoreReset),
 	)
 
--- a/cmd/cobaltcroftd/gateway/notices_test.go
+++ b/cmd/cobaltcroftd/gateway/notices_test.go
@@ -65,7 +65,7 @@
 	It("that they leave is heeded while the store is silent, and holds whatever it says later", func() {
 		i := start(d.Address())
 		reached(i, d.Engines)
-		d.Store.SetFault(platformtest.StoreSilent)
+		d.Store.SetFault(platformtest.StoreHang)
 		for _, e := range firstEndpoints() {
 			leave(i, e)
 		}
@@ -95,7 +95,7 @@
 	It("that they leave is heeded by instances to which they did not say it, while the store is silent", func() {
 		first := start(d.Address())
 		other := start(d.Address(), first.Peers)
-		d.Store.SetFault(platformtest.StoreSilent)
+		d.Store.SetFault(platformtest.StoreHang)
 		leaving := d.EnginesOf("simple")[0]
 		leaving.SetLeaving()
 		Eventually(func() int { first.ask("once"); return leaving.RequestCount() }).ShouldNot(BeZero())
--- a/cmd/cobaltcroftd/gateway/rollout_test.go
+++ b/cmd/cobaltcroftd/gateway/rollout_test.go
@@ -195,12 +195,12 @@
 
 	It("sends nothing to a version while nobody who knows can be asked", func() {
 		d := deployRollout(1)
-		d.Store.SetFault(platformtest.StoreSilent)
+		d.Store.SetFault(platformtest.StoreHang)
 		Eventually(d.instances[0].ready).Should(BeTrue())
 		d.Store.SetFault(platformtest.StoreHealthy)
 		d.order("v2", 3, well)
 		Eventually(d.readRecord).Should(Equal(rolloutRecord{"running", "v2"}))
-		d.Store.SetFault(platformtest.StoreSilent)
+		d.Store.SetFault(platformtest.StoreHang)
 		// The record may stay unread for 3 s, and the last instruction is valid for another 1.5 s.
 		time.Sleep(4600 * time.Millisecond)
 		before, _ := d.arrivals("v2")
