--- a/cmd/cobaltcroftd/gateway/lifecycle_test.go
+++ b/cmd/cobaltcroftd/gateway/lifecycle_test.go
@@ -94,7 +94,7 @@
 	})
 
 	It("reads a list of many pages", func() {
-		d.Store.SetPage(2)
+		d.Store.SetPageSize(2)
 		i := start(d.Address())
 		Eventually(status(i, "once")).Should(Equal(http.StatusOK))
 		Eventually(status(i, "stream")).Should(Equal(http.StatusOK))
