--- a/cmd/cobaltcroftd/gateway/evacuation_test.go
+++ b/cmd/cobaltcroftd/gateway/evacuation_test.go
@@ -151,7 +151,7 @@
 		evacuate(remoteDomain)
 		evacuate(localDomain)
 		restore(remoteDomain)
-		d.Store.Forget()
+		d.Store.CompactHistory()
 		d.Store.SetFault(platformtest.StoreHealthy)
 		Consistently(arrivals(i, localDomain)).WithTimeout(2500 * time.Millisecond).Should(BeZero())
 		Expect(arrivals(i, remoteDomain)()).NotTo(BeZero())
--- a/cmd/cobaltcroftd/gateway/lifecycle_test.go
+++ b/cmd/cobaltcroftd/gateway/lifecycle_test.go
@@ -82,7 +82,7 @@
 		leaving := d.EnginesOf("simple")[0]
 		d.Store.SetFault(platformtest.StoreReset)
 		d.Store.Put("servers/"+leaving.ID, leaving.Entry("draining"))
-		d.Store.Forget()
+		d.Store.CompactHistory()
 		d.Store.SetFault(platformtest.StoreHealthy)
 		// An instance starts watching one second after its start.
 		time.Sleep(2 * time.Second)
