--- a/cmd/cobaltcroft-soak/cmds/cmds.go
+++ b/cmd/cobaltcroft-soak/cmds/cmds.go
@@ -61,7 +61,7 @@
 // earlier is the build with which the instances begin; its program is empty if that is the present one.
 type earlier struct {
 	program string
-	lacks   []soak.Promise
+	lacks   []soak.Guarantee
 }
 
 // buildEarlier builds the earlier program that is asked for, if any; the function removes it.
--- a/cmd/cobaltcroft-soak/cmds/landing.go
+++ b/cmd/cobaltcroft-soak/cmds/landing.go
@@ -16,7 +16,7 @@
 type landing struct {
 	commit string
 	// lacks are the promises that it does not give.
-	lacks []soak.Promise
+	lacks []soak.Guarantee
 }
 
 // readLanding finds a commit in the list of landings: a line is "commit | lacking promises, by commas", and #
@@ -35,7 +35,7 @@
 		l := landing{commit: listed}
 		for promise := range strings.SplitSeq(lacks, ",") {
 			if promise = strings.TrimSpace(promise); promise != "" {
-				l.lacks = append(l.lacks, soak.Promise(promise))
+				l.lacks = append(l.lacks, soak.Guarantee(promise))
 			}
 		}
 		return l, nil
