--- a/cmd/cobaltcroft-soak/cmds/cmds.go
+++ b/cmd/cobaltcroft-soak/cmds/cmds.go
@@ -98,7 +98,7 @@
 		fmt.Fprintln(os.Stderr, "cobaltcroft-soak:", err)
 		return false
 	}
-	report, err := soak.Run(soak.Options{Program: c.Program, EarlierProgram: from.program, MissingGuarantees: from.lacks, Dir: dir, Seed: seed, Length: c.Length, Instances: c.Instances, Clients: c.Clients})
+	report, err := soak.Run(soak.Options{Program: c.Program, EarlierProgram: from.program, MissingGuarantees: from.lacks, Dir: dir, Seed: seed, Duration: c.Length, Instances: c.Instances, Clients: c.Clients})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "cobaltcroft-soak:", err)
 		return false
