--- a/cmd/cobaltcroft-soak/cmds/cmds.go
+++ b/cmd/cobaltcroft-soak/cmds/cmds.go
@@ -103,15 +103,15 @@
 		fmt.Fprintln(os.Stderr, "cobaltcroft-soak:", err)
 		return false
 	}
-	fmt.Printf("seed %d: %d breaches, requests by outcome %v; %d limits, %d requests held against them; %s\n", seed, len(report.Breaches), report.Counts, report.Limits, report.LimitedRequests, report.Rollout)
-	if len(report.Breaches) == 0 {
+	fmt.Printf("seed %d: %d breaches, requests by outcome %v; %d limits, %d requests held against them; %s\n", seed, len(report.Violations), report.Counts, report.Limits, report.LimitedRequests, report.Rollout)
+	if len(report.Violations) == 0 {
 		_ = os.RemoveAll(dir)
 		return true
 	}
 	for _, told := range report.Told {
 		fmt.Println("  ", told)
 	}
-	for _, breach := range report.Breaches {
+	for _, breach := range report.Violations {
 		fmt.Println("  BREACH", breach)
 	}
 	fmt.Println("   logs in", dir)
