--- a/cmd/cobaltcroft-soak/cmds/cmds.go
+++ b/cmd/cobaltcroft-soak/cmds/cmds.go
@@ -108,7 +108,7 @@
 		_ = os.RemoveAll(dir)
 		return true
 	}
-	for _, told := range report.Told {
+	for _, told := range report.Events {
 		fmt.Println("  ", told)
 	}
 	for _, breach := range report.Violations {
