--- a/cmd/cobaltcroft-soak/cmds/cmds.go
+++ b/cmd/cobaltcroft-soak/cmds/cmds.go
@@ -61,7 +61,7 @@
 // earlier is the build with which the instances begin; its program is empty if that is the present one.
 type earlier struct {
 	program string
-	lacks   []soak.Promise
+	lacks   []soak.Guarantee
 }
 
 // buildEarlier builds the earlier program that is asked for, if any; the function removes it.
@@ -98,20 +98,20 @@
 		fmt.Fprintln(os.Stderr, "cobaltcroft-soak:", err)
 		return false
 	}
-	report, err := soak.Run(soak.Options{Program: c.Program, Earlier: from.program, Lacks: from.lacks, Dir: dir, Seed: seed, Length: c.Length, Instances: c.Instances, Clients: c.Clients})
+	report, err := soak.Run(soak.Options{Program: c.Program, EarlierProgram: from.program, MissingGuarantees: from.lacks, Dir: dir, Seed: seed, Duration: c.Length, Instances: c.Instances, Clients: c.Clients})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "cobaltcroft-soak:", err)
 		return false
 	}
-	fmt.Printf("seed %d: %d breaches, requests by outcome %v; %d limits, %d requests held against them; %s\n", seed, len(report.Breaches), report.Counts, report.Limits, report.LimitedRequests, report.Rollout)
-	if len(report.Breaches) == 0 {
+	fmt.Printf("seed %d: %d breaches, requests by outcome %v; %d limits, %d requests held against them; %s\n", seed, len(report.Violations), report.Counts, report.Limits, report.LimitedRequests, report.Rollout)
+	if len(report.Violations) == 0 {
 		_ = os.RemoveAll(dir)
 		return true
 	}
-	for _, told := range report.Told {
+	for _, told := range report.Events {
 		fmt.Println("  ", told)
 	}
-	for _, breach := range report.Breaches {
+	for _, breach := range report.Violations {
 		fmt.Println("  BREACH", breach)
 	}
 	fmt.Println("   logs in", dir)
--- a/cmd/cobaltcroftd/gateway/evacuation_test.go
+++ b/cmd/cobaltcroftd/gateway/evacuation_test.go
@@ -25,10 +25,10 @@
 
 	BeforeEach(func() {
 		d = deploy(2)
-		for _, s := range platformtest.Kinds() {
+		for _, s := range platformtest.ServiceSettings() {
 			s.Zone = remoteDomain
 			for range 2 {
-				_, err := d.Add(s)
+				_, err := d.AddEngine(s)
 				Expect(err).NotTo(HaveOccurred())
 			}
 		}
@@ -42,7 +42,7 @@
 		n := 0
 		for _, e := range d.Engines {
 			if e.Settings().Zone == zone {
-				n += e.Arrived()
+				n += e.RequestCount()
 			}
 		}
 		return n
@@ -74,8 +74,8 @@
 	})
 
 	It("lets requests in flight finish", func() {
-		for _, e := range d.Of("model") {
-			e.SetTimes(time.Millisecond, 300*time.Millisecond)
+		for _, e := range d.EnginesOf("model") {
+			e.SetTiming(time.Millisecond, 300*time.Millisecond)
 		}
 		i := start(d.Address())
 		id := newID()
@@ -83,8 +83,8 @@
 		go func() { done <- send(i.request(http.MethodPost, "stream", id, "")) }()
 		working := func() int {
 			n := 0
-			for _, e := range d.Of("model") {
-				n += e.Working()
+			for _, e := range d.EnginesOf("model") {
+				n += e.ActiveRequests()
 			}
 			return n
 		}
@@ -114,10 +114,10 @@
 	})
 
 	It("of all engines has no stage made for them, though the stages' own endpoints are not evacuated", func() {
-		for _, s := range platformtest.Kinds() {
+		for _, s := range platformtest.ServiceSettings() {
 			if s.Kind == platformtest.Stage {
 				s.Zone = "zone-c"
-				_, err := d.Add(s)
+				_, err := d.AddEngine(s)
 				Expect(err).NotTo(HaveOccurred())
 			}
 		}
@@ -145,14 +145,14 @@
 		i := start(d.Address())
 		evacuate(localDomain)
 		Eventually(arrivals(i, localDomain)).WithTimeout(evacuationBound).Should(BeZero())
-		d.Store.SetFault(platformtest.StoreSilent)
+		d.Store.SetFault(platformtest.StoreHang)
 		Consistently(arrivals(i, localDomain)).WithTimeout(2500 * time.Millisecond).Should(BeZero())
 		restore(localDomain)
 		evacuate(remoteDomain)
 		evacuate(localDomain)
 		restore(remoteDomain)
-		d.Store.Forget()
-		d.Store.SetFault(platformtest.StoreWell)
+		d.Store.CompactHistory()
+		d.Store.SetFault(platformtest.StoreHealthy)
 		Consistently(arrivals(i, localDomain)).WithTimeout(2500 * time.Millisecond).Should(BeZero())
 		Expect(arrivals(i, remoteDomain)()).NotTo(BeZero())
 	})
--- a/cmd/cobaltcroftd/gateway/lifecycle_test.go
+++ b/cmd/cobaltcroftd/gateway/lifecycle_test.go
@@ -27,13 +27,13 @@
 	}
 
 	It("is not ready and answers 503 until it has a configuration", func() {
-		d.Store.SetFault(platformtest.StoreBusy)
+		d.Store.SetFault(platformtest.StoreUnavailable)
 		i := launch(d.Address())
 		_, got := i.ask("once")
 		Expect(got).To(SatisfyAll(HaveField("Status", http.StatusServiceUnavailable), HaveField("Body", ContainSubstring("no_configuration"))))
 		Expect(got.Header.Get("Retry-After")).NotTo(BeEmpty())
 		Expect(i.ready()).To(BeFalse())
-		d.Store.SetFault(platformtest.StoreWell)
+		d.Store.SetFault(platformtest.StoreHealthy)
 		Eventually(i.ready).Should(BeTrue())
 		Eventually(status(i, "once")).Should(Equal(http.StatusOK))
 	})
@@ -41,11 +41,11 @@
 	It("applies new versions of the configuration, and removes what they omit", func() {
 		i := start(d.Address())
 		d.Config.Routes[0].PathPrefix = "/moved/"
-		d.Put()
+		d.PutConfig()
 		Eventually(status(i, "moved")).WithTimeout(2 * time.Second).Should(Equal(http.StatusOK))
 		Expect(status(i, "once")()).To(Equal(http.StatusNotFound))
 		d.Config.Tenants = []map[string]any{{"Name": "other", "ApiKeys": []string{"another key"}}}
-		d.Put()
+		d.PutConfig()
 		Eventually(status(i, "moved")).WithTimeout(2 * time.Second).Should(Equal(http.StatusUnauthorized))
 	})
 
@@ -67,34 +67,34 @@
 			d.Store.SetFault(fault)
 			Consistently(status(i, "once")).WithTimeout(300 * time.Millisecond).Should(Equal(http.StatusOK))
 			d.Config.Routes[0].PathPrefix = "/moved/"
-			d.Put()
-			d.Store.SetFault(platformtest.StoreWell)
+			d.PutConfig()
+			d.Store.SetFault(platformtest.StoreHealthy)
 			Eventually(status(i, "moved")).WithTimeout(4 * time.Second).Should(Equal(http.StatusOK))
 		},
-		Entry("with 503", platformtest.StoreBusy),
-		Entry("with 429", platformtest.StoreMany),
-		Entry("without a reply", platformtest.StoreSilent),
+		Entry("with 503", platformtest.StoreUnavailable),
+		Entry("with 429", platformtest.StoreRateLimited),
+		Entry("without a reply", platformtest.StoreHang),
 		Entry("with resets", platformtest.StoreReset),
 	)
 
 	It("rereads everything when the store has compacted its history", func() {
 		i := start(d.Address())
-		leaving := d.Of("simple")[0]
+		leaving := d.EnginesOf("simple")[0]
 		d.Store.SetFault(platformtest.StoreReset)
 		d.Store.Put("servers/"+leaving.ID, leaving.Entry("draining"))
-		d.Store.Forget()
-		d.Store.SetFault(platformtest.StoreWell)
+		d.Store.CompactHistory()
+		d.Store.SetFault(platformtest.StoreHealthy)
 		// An instance starts watching one second after its start.
 		time.Sleep(2 * time.Second)
-		arrived := leaving.Arrived()
+		arrived := leaving.RequestCount()
 		for range 6 {
 			Expect(status(i, "once")()).To(Equal(http.StatusOK))
 		}
-		Expect(leaving.Arrived()).To(Equal(arrived))
+		Expect(leaving.RequestCount()).To(Equal(arrived))
 	})
 
 	It("reads a list of many pages", func() {
-		d.Store.SetPage(2)
+		d.Store.SetPageSize(2)
 		i := start(d.Address())
 		Eventually(status(i, "once")).Should(Equal(http.StatusOK))
 		Eventually(status(i, "stream")).Should(Equal(http.StatusOK))
@@ -102,14 +102,14 @@
 
 	It("sends a draining engine nothing new, and lets it finish", func() {
 		i := start(d.Address())
-		leaving := d.Of("simple")[0]
+		leaving := d.EnginesOf("simple")[0]
 		d.Store.Put("servers/"+leaving.ID, leaving.Entry("draining"))
 		Eventually(func() int {
-			before := leaving.Arrived()
+			before := leaving.RequestCount()
 			for range 4 {
 				Expect(status(i, "once")()).To(Equal(http.StatusOK))
 			}
-			return leaving.Arrived() - before
+			return leaving.RequestCount() - before
 		}).WithTimeout(2 * time.Second).Should(BeZero())
 	})
 
@@ -119,7 +119,7 @@
 		Eventually(b.ready).Should(BeTrue())
 		Eventually(status(b, "once")).Should(Equal(http.StatusOK))
 		d.Config.Routes[0].PathPrefix = "/moved/"
-		d.Put()
+		d.PutConfig()
 		Eventually(status(b, "moved")).WithTimeout(4 * time.Second).Should(Equal(http.StatusOK))
 	})
 
@@ -131,14 +131,14 @@
 	})
 
 	It("stops as planned: unready at once, and nothing in flight is cut", func() {
-		for _, e := range d.Of("model") {
-			e.SetTimes(time.Millisecond, 150*time.Millisecond)
+		for _, e := range d.EnginesOf("model") {
+			e.SetTiming(time.Millisecond, 150*time.Millisecond)
 		}
 		i := start(d.Address())
 		id := newID()
 		done := make(chan answer, 1)
 		go func() { done <- send(i.request(http.MethodPost, "stream", id, "")) }()
-		Eventually(func() int { return d.Of("model")[0].Working() + d.Of("model")[1].Working() }).Should(Equal(1))
+		Eventually(func() int { return d.EnginesOf("model")[0].ActiveRequests() + d.EnginesOf("model")[1].ActiveRequests() }).Should(Equal(1))
 		i.signals <- syscall.SIGTERM
 		Eventually(i.ready).WithTimeout(time.Second).Should(BeFalse())
 		// The load balancer may still send new connections.
@@ -149,12 +149,12 @@
 	})
 
 	It("refuses, not run, what comes late in a planned stop", func() {
-		for _, e := range d.Of("model") {
-			e.SetTimes(time.Millisecond, 500*time.Millisecond)
+		for _, e := range d.EnginesOf("model") {
+			e.SetTiming(time.Millisecond, 500*time.Millisecond)
 		}
 		i := start(d.Address())
 		go send(i.request(http.MethodPost, "stream", newID(), ""))
-		Eventually(func() int { return d.Of("model")[0].Working() + d.Of("model")[1].Working() }).Should(Equal(1))
+		Eventually(func() int { return d.EnginesOf("model")[0].ActiveRequests() + d.EnginesOf("model")[1].ActiveRequests() }).Should(Equal(1))
 		i.signals <- syscall.SIGTERM
 		var id string
 		Eventually(func() int {
--- a/cmd/cobaltcroftd/gateway/limits_test.go
+++ b/cmd/cobaltcroftd/gateway/limits_test.go
@@ -58,7 +58,7 @@
 	// limitAll sets the limit on engines and returns when it must be enforced.
 	limitAll := func(engines []*platformtest.Engine) time.Time {
 		for _, e := range engines {
-			e.LimitTo(limit)
+			e.SetLimit(limit)
 		}
 		return time.Now().Add(propagationBound)
 	}
@@ -66,24 +66,24 @@
 	It("are heeded by calls of all kinds, and the others serve what comes", func() {
 		var limited []*platformtest.Engine
 		for _, service := range []string{"simple", "model", "first", "second", "third"} {
-			limited = append(limited, d.Of(service)[0])
+			limited = append(limited, d.EnginesOf(service)[0])
 		}
 		from := limitAll(limited)
 		Expect(ask(from.Add(window+time.Second), kinds...)).To(HaveEach(http.StatusOK))
 		for _, e := range limited {
-			Expect(e.LimitsTold()).NotTo(BeZero(), e.Service)
-			Expect(e.MostCalls(window, from)).To(BeNumerically("<=", most), e.Service)
+			Expect(e.LimitResponses()).NotTo(BeZero(), e.Service)
+			Expect(e.PeakCalls(window, from)).To(BeNumerically("<=", most), e.Service)
 		}
 	})
 
 	It("are heeded where all of a service name one: so many are served, the others refused at once", func() {
-		from := limitAll(d.Of("simple"))
+		from := limitAll(d.EnginesOf("simple"))
 		ask(from, "once")
 		By("waiting until instances that have just started know each other, and grant")
 		Eventually(func() []int { return ask(time.Now().Add(100*time.Millisecond), "once") }).Should(ContainElement(http.StatusOK))
 		statuses := ask(time.Now().Add(window+time.Second), "once")
-		for _, e := range d.Of("simple") {
-			Expect(e.MostCalls(window, from)).To(BeNumerically("<=", most))
+		for _, e := range d.EnginesOf("simple") {
+			Expect(e.PeakCalls(window, from)).To(BeNumerically("<=", most))
 		}
 		served := len(slices.DeleteFunc(slices.Clone(statuses), func(status int) bool { return status != http.StatusOK }))
 		Expect(served).To(BeNumerically(">=", 2*limit*int(window.Seconds())/2), "half of what the limits allow")
@@ -103,29 +103,29 @@
 	})
 
 	It("are heeded by an instance that no answer has told", func() {
-		limited := d.Of("simple")[0]
-		limited.LimitTo(limit)
-		Eventually(func() int { instances[0].ask("once"); return limited.LimitsTold() }).ShouldNot(BeZero())
+		limited := d.EnginesOf("simple")[0]
+		limited.SetLimit(limit)
+		Eventually(func() int { instances[0].ask("once"); return limited.LimitResponses() }).ShouldNot(BeZero())
 		Eventually(func() string { return instances[1].get("/metrics") }).Should(ContainSubstring("cobaltcroft_endpoints_limited 1"))
-		before := limited.Arrived()
+		before := limited.RequestCount()
 		for range 50 {
 			_, got := instances[1].ask("once")
 			Expect(got.Status).To(Equal(http.StatusOK))
 		}
-		Expect(limited.Arrived()-before).To(BeNumerically("<=", 2), "of 25")
+		Expect(limited.RequestCount()-before).To(BeNumerically("<=", 2), "of 25")
 		Expect(instances[1].get("/notices")).To(ContainSubstring(`"limit":1`))
 	})
 
 	It("are over for all when an answer names none", func() {
-		limited := d.Of("simple")[0]
+		limited := d.EnginesOf("simple")[0]
 		from := limitAll([]*platformtest.Engine{limited})
 		ask(from.Add(time.Second), "once")
-		Expect(limited.LimitsTold()).NotTo(BeZero())
-		limited.LimitTo(-1)
-		before := limited.Arrived()
+		Expect(limited.LimitResponses()).NotTo(BeZero())
+		limited.SetLimit(-1)
+		before := limited.RequestCount()
 		Eventually(func() int {
 			ask(time.Now().Add(100*time.Millisecond), "once")
-			return limited.Arrived() - before
+			return limited.RequestCount() - before
 		}).Should(BeNumerically(">", 50))
 	})
 })
--- a/cmd/cobaltcroftd/gateway/notices_test.go
+++ b/cmd/cobaltcroftd/gateway/notices_test.go
@@ -32,7 +32,7 @@
 	firstEndpoints := func() []*platformtest.Engine {
 		var list []*platformtest.Engine
 		for _, service := range services {
-			list = append(list, d.Of(service)[0])
+			list = append(list, d.EnginesOf(service)[0])
 		}
 		return list
 	}
@@ -40,7 +40,7 @@
 	arrived := func(engines []*platformtest.Engine) int {
 		n := 0
 		for _, e := range engines {
-			n += e.Arrived()
+			n += e.RequestCount()
 		}
 		return n
 	}
@@ -49,8 +49,8 @@
 	reached := func(i *instance, engines []*platformtest.Engine) {
 		GinkgoHelper()
 		for _, e := range engines {
-			before := e.Arrived()
-			Eventually(func() int { traffic(i, kinds...); return e.Arrived() }).Should(BeNumerically(">", before))
+			before := e.RequestCount()
+			Eventually(func() int { traffic(i, kinds...); return e.RequestCount() }).Should(BeNumerically(">", before))
 		}
 	}
 
@@ -58,14 +58,14 @@
 	// to a free of results counts.
 	leave := func(i *instance, e *platformtest.Engine) {
 		GinkgoHelper()
-		e.Leave()
-		Eventually(func() int { traffic(i, kinds...); return e.LeavesTold() }).ShouldNot(BeZero())
+		e.SetLeaving()
+		Eventually(func() int { traffic(i, kinds...); return e.LeavingResponses() }).ShouldNot(BeZero())
 	}
 
 	It("that they leave is heeded while the store is silent, and holds whatever it says later", func() {
 		i := start(d.Address())
 		reached(i, d.Engines)
-		d.Store.SetFault(platformtest.StoreSilent)
+		d.Store.SetFault(platformtest.StoreHang)
 		for _, e := range firstEndpoints() {
 			leave(i, e)
 		}
@@ -79,7 +79,7 @@
 			Expect(traffic(i, kinds...)).To(HaveEach(http.StatusOK))
 		}
 		By("entries that still call them ready")
-		d.Store.SetFault(platformtest.StoreWell)
+		d.Store.SetFault(platformtest.StoreHealthy)
 		for _, e := range firstEndpoints() {
 			entry := e.Entry("ready")
 			entry["Seq"], entry["Slots"] = 2, 9
@@ -95,30 +95,30 @@
 	It("that they leave is heeded by instances to which they did not say it, while the store is silent", func() {
 		first := start(d.Address())
 		other := start(d.Address(), first.Peers)
-		d.Store.SetFault(platformtest.StoreSilent)
-		leaving := d.Of("simple")[0]
-		leaving.Leave()
-		Eventually(func() int { first.ask("once"); return leaving.Arrived() }).ShouldNot(BeZero())
+		d.Store.SetFault(platformtest.StoreHang)
+		leaving := d.EnginesOf("simple")[0]
+		leaving.SetLeaving()
+		Eventually(func() int { first.ask("once"); return leaving.RequestCount() }).ShouldNot(BeZero())
 		Eventually(func() int {
-			before := leaving.Arrived()
+			before := leaving.RequestCount()
 			for range 8 {
 				Expect(send(other.request(http.MethodPost, "once", newID(), "")).Status).To(Equal(http.StatusOK))
 			}
-			return leaving.Arrived() - before
+			return leaving.RequestCount() - before
 		}).WithTimeout(2 * leaveBound).Should(BeZero())
-		before := leaving.Arrived()
+		before := leaving.RequestCount()
 		for range 50 {
 			other.ask("once")
 		}
-		Expect(leaving.Arrived()).To(Equal(before))
+		Expect(leaving.RequestCount()).To(Equal(before))
 	})
 
 	It("that they leave does not hold for an endpoint that starts again under the same id", func() {
 		i := start(d.Address())
-		leaving := d.Of("simple")[0]
+		leaving := d.EnginesOf("simple")[0]
 		leave(i, leaving)
 		leaving.Close()
-		reborn, err := leaving.Reborn()
+		reborn, err := leaving.Restart()
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(reborn.Close)
 		d.Store.Put("servers/"+reborn.ID, reborn.Entry("ready"))
@@ -129,26 +129,26 @@
 		const short = 200 * time.Millisecond
 		i := start(d.Address())
 		for range 3 {
-			for _, e := range d.Of("simple") {
-				before := e.RestsAsked()
-				e.AskRest(short)
-				Eventually(func() int { i.ask("once"); return e.RestsAsked() - before }).ShouldNot(BeZero())
-				e.AskRest(0)
+			for _, e := range d.EnginesOf("simple") {
+				before := e.RetryAfterResponses()
+				e.SetRetryAfter(short)
+				Eventually(func() int { i.ask("once"); return e.RetryAfterResponses() - before }).ShouldNot(BeZero())
+				e.SetRetryAfter(0)
 			}
 			_, got := i.ask("once")
 			Expect(got.Status).To(Equal(http.StatusOK))
 		}
-		for _, e := range d.Of("simple") {
-			Expect(e.Disturbed()).To(BeZero())
+		for _, e := range d.EnginesOf("simple") {
+			Expect(e.BackoffViolations()).To(BeZero())
 		}
 	})
 
 	It("is listed for operators, and counted where it can't be read", func() {
 		i := start(d.Address())
-		leaving, resting := d.Of("simple")[0], d.Of("model")[0]
+		leaving, resting := d.EnginesOf("simple")[0], d.EnginesOf("model")[0]
 		leave(i, leaving)
-		resting.AskRest(time.Minute)
-		Eventually(func() int { traffic(i, kinds...); return resting.RestsAsked() }).ShouldNot(BeZero())
+		resting.SetRetryAfter(time.Minute)
+		Eventually(func() int { traffic(i, kinds...); return resting.RetryAfterResponses() }).ShouldNot(BeZero())
 		var list []struct {
 			Endpoint string
 			Leaving  bool
@@ -161,69 +161,69 @@
 		Expect(list[1].Endpoint).To(HavePrefix(resting.ID))
 		Expect(list[1].RestMs).To(BeNumerically("~", 55_000, 5_000))
 		Expect(i.get("/metrics")).To(SatisfyAll(ContainSubstring("cobaltcroft_endpoints_departing 1"), ContainSubstring("cobaltcroft_endpoints_resting 1"), ContainSubstring("cobaltcroft_notices_unread_total 0")))
-		d.Of("simple")[1].AskRestIn("a while")
+		d.EnginesOf("simple")[1].SetMalformedRetryAfter("a while")
 		Eventually(func() string { i.ask("once"); return i.get("/metrics") }).Should(MatchRegexp("cobaltcroft_notices_unread_total [1-9]"))
 	})
 
 	It("that all the readers of a request want rest has it refused before its stages are made", func() {
 		i := start(d.Address())
-		for _, e := range d.Of("model") {
-			e.AskRest(rest)
+		for _, e := range d.EnginesOf("model") {
+			e.SetRetryAfter(rest)
 		}
-		for _, e := range d.Of("model") {
-			Eventually(func() int { i.ask("stream"); return e.RestsAsked() }).ShouldNot(BeZero())
+		for _, e := range d.EnginesOf("model") {
+			Eventually(func() int { i.ask("stream"); return e.RetryAfterResponses() }).ShouldNot(BeZero())
 		}
-		for _, e := range d.Of("model") {
-			e.AskRest(0)
+		for _, e := range d.EnginesOf("model") {
+			e.SetRetryAfter(0)
 		}
-		before := arrived(d.Of("first"))
+		before := arrived(d.EnginesOf("first"))
 		Expect(send(i.staged(newID())).Status).To(Equal(http.StatusServiceUnavailable))
-		Expect(arrived(d.Of("first"))).To(Equal(before))
+		Expect(arrived(d.EnginesOf("first"))).To(Equal(before))
 	})
 
 	It("that all the makers of a stage want rest has requests refused at once", func() {
 		i := start(d.Address())
-		for _, e := range d.Of("second") {
-			e.AskRest(rest)
+		for _, e := range d.EnginesOf("second") {
+			e.SetRetryAfter(rest)
 		}
-		for _, e := range d.Of("second") {
-			Eventually(func() int { traffic(i, kinds...); return e.RestsAsked() }).ShouldNot(BeZero())
+		for _, e := range d.EnginesOf("second") {
+			Eventually(func() int { traffic(i, kinds...); return e.RetryAfterResponses() }).ShouldNot(BeZero())
 		}
 		began := time.Now()
 		refused := send(i.staged(newID()))
 		Expect(refused.Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(time.Since(began)).To(BeNumerically("<", rest/4))
-		for _, e := range d.Of("second") {
-			Expect(e.Disturbed()).To(BeZero())
+		for _, e := range d.EnginesOf("second") {
+			Expect(e.BackoffViolations()).To(BeZero())
 		}
 	})
 
 	It("that they want rest is heeded, by calls of all kinds, for as long as they ask", func() {
 		i := start(d.Address())
 		for _, e := range firstEndpoints() {
-			e.AskRest(rest)
+			e.SetRetryAfter(rest)
 		}
 		for _, e := range firstEndpoints() {
-			Eventually(func() int { traffic(i, kinds...); return e.RestsAsked() }).ShouldNot(BeZero())
+			Eventually(func() int { traffic(i, kinds...); return e.RetryAfterResponses() }).ShouldNot(BeZero())
 		}
 		until := time.Now().Add(rest)
 		for time.Now().Before(until) {
 			Expect(traffic(i, kinds...)).To(HaveEach(http.StatusOK))
 		}
 		for _, e := range firstEndpoints() {
-			Expect(e.Disturbed()).To(BeZero(), "calls to an endpoint of %s that wants rest", e.Service)
-			e.AskRest(0)
+			Expect(e.BackoffViolations()).To(BeZero(), "calls to an endpoint of %s that wants rest", e.Service)
+			e.SetRetryAfter(0)
 		}
 		reached(i, firstEndpoints())
 	})
 
 	It("that all of a service want rest has requests refused at once, until the first has had it", func() {
 		i := start(d.Address())
-		for _, e := range d.Of("simple") {
-			e.AskRest(rest)
+		for _, e := range d.EnginesOf("simple") {
+			e.SetRetryAfter(rest)
 		}
-		for _, e := range d.Of("simple") {
-			Eventually(func() int { i.ask("once"); return e.RestsAsked() }).ShouldNot(BeZero())
+		for _, e := range d.EnginesOf("simple") {
+			Eventually(func() int { i.ask("once"); return e.RetryAfterResponses() }).ShouldNot(BeZero())
 		}
 		until := time.Now().Add(rest - time.Second)
 		for time.Now().Before(until) {
@@ -235,9 +235,9 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(seconds).To(And(BeNumerically(">", 0), BeNumerically("<=", rest.Seconds())))
 		}
-		for _, e := range d.Of("simple") {
-			Expect(e.Disturbed()).To(BeZero())
-			e.AskRest(0)
+		for _, e := range d.EnginesOf("simple") {
+			Expect(e.BackoffViolations()).To(BeZero())
+			e.SetRetryAfter(0)
 		}
 		Eventually(func() int {
 			_, got := i.ask("once")
--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -36,7 +36,7 @@
 	BeforeEach(func() {
 		d = deploy(endpoints)
 		for _, e := range d.Engines {
-			e.EndOn(fatal, nil)
+			e.CrashOn(fatal, nil)
 		}
 		instances = []*instance{start(d.Address())}
 		for range 2 {
@@ -47,7 +47,7 @@
 	crashed := func() int {
 		n := 0
 		for _, e := range d.Engines {
-			if e.Ended() {
+			if e.Crashed() {
 				n++
 			}
 		}
@@ -62,7 +62,7 @@
 	// up a request after five unreachable endpoints.
 	removeEntries := func() {
 		for _, e := range d.Engines {
-			if e.Ended() {
+			if e.Crashed() {
 				d.Store.Remove("servers/" + e.ID)
 			}
 		}
@@ -157,7 +157,7 @@
 		Expect(json.Unmarshal([]byte(body), &list)).To(Succeed())
 		Expect(list).To(HaveExactElements(HaveField("Endpoints", HaveLen(crashed()))))
 		for _, e := range d.Engines {
-			e.EndOn("", nil)
+			e.CrashOn("", nil)
 		}
 		status, _ = callOperators(instances[0], http.MethodDelete, "/quarantine/"+list[0].Digest)
 		Expect(status).To(Equal(http.StatusNoContent))
@@ -192,7 +192,7 @@
 		}
 		made := func() int {
 			n := 0
-			for _, e := range append(d.Of("first"), d.Of("third")...) {
+			for _, e := range append(d.EnginesOf("first"), d.EnginesOf("third")...) {
 				n += len(e.Runs())
 			}
 			return n
@@ -203,8 +203,8 @@
 	})
 
 	It("does not affect other requests", func() {
-		for _, e := range d.Of("model") {
-			e.SetTimes(time.Millisecond, 60*time.Millisecond)
+		for _, e := range d.EnginesOf("model") {
+			e.SetTiming(time.Millisecond, 60*time.Millisecond)
 		}
 		i := instances[0]
 		var proper sync.WaitGroup
@@ -231,20 +231,20 @@
 			d := deploy(4)
 			i := start(d.Address())
 			for _, e := range d.Engines {
-				e.Always(fault)
+				e.SetDefaultFault(fault)
 			}
 			for range 4 {
 				Expect(send(i.request(http.MethodPost, "repeat", newID(), "the same")).Status).To(Equal(http.StatusBadGateway))
 				Expect(send(i.request(http.MethodPost, "once", newID(), "the same")).Status).To(Equal(http.StatusBadGateway))
 			}
 			for _, e := range d.Engines {
-				e.Always(0)
+				e.SetDefaultFault(0)
 			}
 			Eventually(func() int { return send(i.request(http.MethodPost, "repeat", newID(), "the same")).Status }).Should(Equal(http.StatusOK))
 		},
-		Entry("by resets", platformtest.LoseAnswer),
-		Entry("in their middle", platformtest.BreakOff),
-		Entry("as bytes that are no answer", platformtest.Spoiled),
+		Entry("by resets", platformtest.DropResponse),
+		Entry("in their middle", platformtest.TruncateResponse),
+		Entry("as bytes that are no answer", platformtest.MalformedResponse),
 	)
 
 	It("nor is one whose endpoints end as planned, with what they still run", func() {
@@ -253,17 +253,17 @@
 		same := func() answer { return send(i.request(http.MethodPost, "once", newID(), "the same")) }
 		status := func() int { _, got := i.ask("once"); return got.Status }
 		for n := range 3 {
-			e := d.Of("simple")[n]
+			e := d.EnginesOf("simple")[n]
 			Eventually(status).Should(Equal(http.StatusOK))
-			e.Next(platformtest.Mute)
+			e.QueueFaults(platformtest.Hang)
 			cut := make(chan answer, 1)
 			go func() { cut <- same() }()
-			Eventually(e.Working).Should(Equal(1))
+			Eventually(e.ActiveRequests).Should(Equal(1))
 			d.Store.Put("servers/"+e.ID, e.Entry("draining"))
 			Eventually(status).Should(Equal(http.StatusServiceUnavailable), "no endpoint is left")
 			e.Close()
 			Expect((<-cut).Status).To(Equal(http.StatusBadGateway))
-			_, err := d.Add(platformtest.Settings{Kind: platformtest.Simple, Service: "simple"})
+			_, err := d.AddEngine(platformtest.Settings{Kind: platformtest.Simple, Service: "simple"})
 			Expect(err).NotTo(HaveOccurred())
 		}
 		Eventually(status).Should(Equal(http.StatusOK))
--- a/cmd/cobaltcroftd/gateway/regions_test.go
+++ b/cmd/cobaltcroftd/gateway/regions_test.go
@@ -21,13 +21,13 @@
 			d.Config.Routes[i].AllowedRegions = routes
 		}
 		d.Config.Tenants[0]["AllowedRegions"] = organisation
-		d.Put()
+		d.PutConfig()
 	}
 	reached := func(zone string) int {
 		n := 0
 		for _, e := range d.Engines {
 			if e.Settings().Zone == zone {
-				n += e.Arrived() + len(e.Runs())
+				n += e.RequestCount() + len(e.Runs())
 			}
 		}
 		return n
@@ -35,10 +35,10 @@
 
 	BeforeEach(func() {
 		d = deploy(2)
-		for _, s := range platformtest.Kinds() {
+		for _, s := range platformtest.ServiceSettings() {
 			s.Zone = remoteDomain
 			for range 2 {
-				_, err := d.Add(s)
+				_, err := d.AddEngine(s)
 				Expect(err).NotTo(HaveOccurred())
 			}
 		}
@@ -50,9 +50,9 @@
 			first := start(d.Address())
 			instances := []*instance{first, start(d.Address(), first.Peers)}
 			random := rand.New(rand.NewPCG(5, 1))
-			faults := []platformtest.Fault{platformtest.Full, platformtest.Fail, platformtest.LoseAnswer, platformtest.BreakOff, platformtest.NoRoom, platformtest.InputGone}
+			faults := []platformtest.Fault{platformtest.RejectNotRun, platformtest.InternalError, platformtest.DropResponse, platformtest.TruncateResponse, platformtest.OutOfMemory, platformtest.MissingInput}
 			for range 25 {
-				d.Engines[random.IntN(len(d.Engines))].Next(faults[random.IntN(len(faults))])
+				d.Engines[random.IntN(len(d.Engines))].QueueFaults(faults[random.IntN(len(faults))])
 				Expect(traffic(instances[random.IntN(2)], kinds...)).To(ContainElement(http.StatusOK))
 			}
 			Expect(reached(forbidden)).To(BeZero())
--- a/cmd/cobaltcroftd/gateway/requests_test.go
+++ b/cmd/cobaltcroftd/gateway/requests_test.go
@@ -24,7 +24,7 @@
 	})
 
 	whole := func(id string) OmegaMatcher {
-		return SatisfyAll(HaveField("Status", http.StatusOK), HaveField("Body", platformtest.Body(id)), HaveField("Whole", true))
+		return SatisfyAll(HaveField("Status", http.StatusOK), HaveField("Body", platformtest.ResponseBody(id)), HaveField("Whole", true))
 	}
 
 	It("pass unchanged, with what the endpoint must know", func() {
@@ -94,7 +94,7 @@
 		ids := []string{newID(), newID(), newID()}
 		var all strings.Builder
 		for _, id := range ids {
-			all.WriteString("GET /repeat/x HTTP/1.1\r\nHost: " + platformtest.Host + "\r\nAuthorization: Bearer " + platformtest.Key + "\r\nCobaltcroft-Request-Id: " + id + "\r\n\r\n")
+			all.WriteString("GET /repeat/x HTTP/1.1\r\nHost: " + platformtest.Host + "\r\nAuthorization: Bearer " + platformtest.APIKey + "\r\nCobaltcroft-Request-Id: " + id + "\r\n\r\n")
 		}
 		_, reader := i.raw(all.String())
 		for _, id := range ids {
@@ -107,24 +107,24 @@
 
 	DescribeTable("that must not be repeated run once at most",
 		func(fault platformtest.Fault, status int) {
-			for _, e := range d.Of("simple") {
-				e.Next(fault)
+			for _, e := range d.EnginesOf("simple") {
+				e.QueueFaults(fault)
 			}
 			id, got := i.ask("once")
 			Expect(got.Status).To(Equal(status))
 			Expect(len(d.Runs("simple", id))).To(BeNumerically("<=", 1))
 		},
-		Entry("the answer is lost", platformtest.LoseAnswer, http.StatusBadGateway),
-		Entry("the answer breaks off", platformtest.BreakOff, http.StatusBadGateway),
-		Entry("bytes that are no answer", platformtest.Spoiled, http.StatusBadGateway),
-		Entry("an answer without a seal", platformtest.NoSeal, http.StatusBadGateway),
-		Entry("a failure is passed on", platformtest.Fail, http.StatusInternalServerError),
-		Entry("all endpoints are full: not run, come back", platformtest.Full, http.StatusServiceUnavailable),
+		Entry("the answer is lost", platformtest.DropResponse, http.StatusBadGateway),
+		Entry("the answer breaks off", platformtest.TruncateResponse, http.StatusBadGateway),
+		Entry("bytes that are no answer", platformtest.MalformedResponse, http.StatusBadGateway),
+		Entry("an answer without a seal", platformtest.MissingSeal, http.StatusBadGateway),
+		Entry("a failure is passed on", platformtest.InternalError, http.StatusInternalServerError),
+		Entry("all endpoints are full: not run, come back", platformtest.RejectNotRun, http.StatusServiceUnavailable),
 	)
 
 	It("that were not run say when to come back", func() {
-		for _, e := range d.Of("simple") {
-			e.Always(platformtest.Full)
+		for _, e := range d.EnginesOf("simple") {
+			e.SetDefaultFault(platformtest.RejectNotRun)
 		}
 		id, got := i.ask("once")
 		Expect(got.Status).To(Equal(http.StatusServiceUnavailable))
@@ -133,8 +133,8 @@
 	})
 
 	It("that may have run are never told that they have not", func() {
-		for _, e := range d.Of("simple") {
-			e.Always(platformtest.LoseAnswer)
+		for _, e := range d.EnginesOf("simple") {
+			e.SetDefaultFault(platformtest.DropResponse)
 		}
 		for range 4 {
 			id, got := i.ask("repeat")
@@ -145,51 +145,53 @@
 
 	DescribeTable("get their own whole answer",
 		func(route string, fault platformtest.Fault) {
-			d.Of("simple")[0].Next(fault)
-			d.Of("simple")[1].Next(fault)
+			d.EnginesOf("simple")[0].QueueFaults(fault)
+			d.EnginesOf("simple")[1].QueueFaults(fault)
 			for range 4 {
 				id, got := i.ask(route)
 				Expect(got).To(whole(id))
 			}
 		},
-		Entry("after an answer to another request", "once", platformtest.Crossed),
-		Entry("before a surplus answer", "once", platformtest.Surplus),
-		Entry("without a length", "once", platformtest.Unframed),
+		Entry("after an answer to another request", "once", platformtest.MismatchedResponse),
+		Entry("before a surplus answer", "once", platformtest.ExtraResponse),
+		Entry("without a length", "once", platformtest.MissingLength),
 	)
 
 	DescribeTable("that may be repeated go to another endpoint",
 		func(fault platformtest.Fault) {
-			d.Of("simple")[0].Always(fault)
+			d.EnginesOf("simple")[0].SetDefaultFault(fault)
 			for range 4 {
 				id, got := i.ask("repeat")
 				Expect(got).To(whole(id))
 			}
 		},
-		Entry("the answer is lost", platformtest.LoseAnswer),
-		Entry("the answer breaks off", platformtest.BreakOff),
-		Entry("a failure", platformtest.Fail),
-		Entry("bytes that are no answer", platformtest.Spoiled),
-		Entry("no seal", platformtest.NoSeal),
+		Entry("the answer is lost", platformtest.DropResponse),
+		Entry("the answer breaks off", platformtest.TruncateResponse),
+		Entry("a failure", platformtest.InternalError),
+		Entry("bytes that are no answer", platformtest.MalformedResponse),
+		Entry("no seal", platformtest.MissingSeal),
 	)
 
 	It("whose endpoint answers before it has read them leave nothing behind", func() {
 		body := strings.Repeat("long ", 100_000)
-		for _, e := range d.Of("simple") {
-			e.Next(platformtest.Early, platformtest.Early)
+		for _, e := range d.EnginesOf("simple") {
+			e.QueueFaults(platformtest.EarlyResponse, platformtest.EarlyResponse)
 		}
 		for range 6 {
 			send(i.request(http.MethodPost, "once", newID(), body))
 		}
-		for _, e := range d.Of("simple") {
-			Expect(e.Broken()).To(BeEmpty())
+		for _, e := range d.EnginesOf("simple") {
+			Expect(e.Violations()).To(BeEmpty())
 		}
 	})
 
 	It("whose client leaves are ended at the endpoint", func() {
-		for _, e := range d.Of("simple") {
-			e.Always(platformtest.Mute)
+		for _, e := range d.EnginesOf("simple") {
+			e.SetDefaultFault(platformtest.Hang)
+		}
+		working := func() int {
+			return d.EnginesOf("simple")[0].ActiveRequests() + d.EnginesOf("simple")[1].ActiveRequests()
 		}
-		working := func() int { return d.Of("simple")[0].Working() + d.Of("simple")[1].Working() }
 		r, cancel := withCancel(i.request(http.MethodPost, "once", newID(), ""))
 		go send(r)
 		Eventually(working).Should(Equal(1))
@@ -198,8 +200,8 @@
 	})
 
 	It("are answered when their time is over", func() {
-		for _, e := range d.Of("simple") {
-			e.Always(platformtest.Mute)
+		for _, e := range d.EnginesOf("simple") {
+			e.SetDefaultFault(platformtest.Hang)
 		}
 		r := i.request(http.MethodPost, "once", newID(), "")
 		r.Header.Set("Cobaltcroft-Deadline-Ms", "300")
@@ -207,9 +209,9 @@
 	})
 
 	It("do not run at another engine that has got the address", func() {
-		old := d.Of("simple")[0]
-		d.Store.Remove("servers/" + d.Of("simple")[1].ID)
-		old.Reincarnate()
+		old := d.EnginesOf("simple")[0]
+		d.Store.Remove("servers/" + d.EnginesOf("simple")[1].ID)
+		old.ReplaceIncarnation()
 		// The store still lists the old incarnation.
 		Eventually(func() int {
 			_, got := i.ask("once")
@@ -225,7 +227,7 @@
 		})
 
 		It("go on at another engine after the last event", func() {
-			d.Of("model")[0].Always(platformtest.BreakOff)
+			d.EnginesOf("model")[0].SetDefaultFault(platformtest.TruncateResponse)
 			for range 3 {
 				id, got := i.ask("stream")
 				Expect(got).To(SatisfyAll(HaveField("Body", events(id, 8)), HaveField("Whole", true)))
@@ -233,8 +235,8 @@
 		})
 
 		It("that must not be resumed end so that they do not look complete", func() {
-			for _, e := range d.Of("model") {
-				e.Always(platformtest.BreakOff)
+			for _, e := range d.EnginesOf("model") {
+				e.SetDefaultFault(platformtest.TruncateResponse)
 			}
 			id, got := i.ask("fixed")
 			Expect(got.Whole).To(BeFalse())
--- a/cmd/cobaltcroftd/gateway/rollout_test.go
+++ b/cmd/cobaltcroftd/gateway/rollout_test.go
@@ -69,7 +69,7 @@
 
 // add starts an endpoint of a version.
 func (d *rolloutDeployment) add(version string) *platformtest.Engine {
-	e, err := d.Add(platformtest.Settings{Kind: platformtest.Simple, Service: "simple", Version: version, Work: 8 * time.Millisecond})
+	e, err := d.AddEngine(platformtest.Settings{Kind: platformtest.Simple, Service: "simple", Version: version, ProcessingTime: 8 * time.Millisecond})
 	Expect(err).NotTo(HaveOccurred())
 	return e
 }
@@ -118,10 +118,10 @@
 
 // arrivals returns the number of requests received by a version, and in total.
 func (d *rolloutDeployment) arrivals(version string) (of, all int) {
-	for _, e := range d.Of("simple") {
-		all += e.Arrived()
+	for _, e := range d.EnginesOf("simple") {
+		all += e.RequestCount()
 		if e.Settings().Version == version {
-			of += e.Arrived()
+			of += e.RequestCount()
 		}
 	}
 	return of, all
@@ -143,9 +143,9 @@
 
 func (d *rolloutDeployment) working(version string) int {
 	n := 0
-	for _, e := range d.Of("simple") {
+	for _, e := range d.EnginesOf("simple") {
 		if e.Settings().Version == version {
-			n += e.Working()
+			n += e.ActiveRequests()
 		}
 	}
 	return n
@@ -186,26 +186,26 @@
 			Expect(of).To(Equal(got))
 			Expect(d.readRecord()).To(Equal(rolloutRecord{"reverted", "v2"}))
 		},
-		Entry("that fails four answers in ten", func(e *platformtest.Engine) { e.Each(2, platformtest.Fail) }),
-		Entry("that is ten times as slow", func(e *platformtest.Engine) { e.SetTimes(80*time.Millisecond, 0) }),
+		Entry("that fails four answers in ten", func(e *platformtest.Engine) { e.SetPeriodicFault(2, platformtest.InternalError) }),
+		Entry("that is ten times as slow", func(e *platformtest.Engine) { e.SetTiming(80*time.Millisecond, 0) }),
 		Entry("that loses answers late", func(e *platformtest.Engine) {
-			time.AfterFunc(2500*time.Millisecond, func() { e.Each(2, platformtest.LoseAnswer) })
+			time.AfterFunc(2500*time.Millisecond, func() { e.SetPeriodicFault(2, platformtest.DropResponse) })
 		}),
 	)
 
 	It("sends nothing to a version while nobody who knows can be asked", func() {
 		d := deployRollout(1)
-		d.Store.SetFault(platformtest.StoreSilent)
+		d.Store.SetFault(platformtest.StoreHang)
 		Eventually(d.instances[0].ready).Should(BeTrue())
-		d.Store.SetFault(platformtest.StoreWell)
+		d.Store.SetFault(platformtest.StoreHealthy)
 		d.order("v2", 3, well)
 		Eventually(d.readRecord).Should(Equal(rolloutRecord{"running", "v2"}))
-		d.Store.SetFault(platformtest.StoreSilent)
+		d.Store.SetFault(platformtest.StoreHang)
 		// The record may stay unread for 3 s, and the last instruction is valid for another 1.5 s.
 		time.Sleep(4600 * time.Millisecond)
 		before, _ := d.arrivals("v2")
 		Consistently(func() int { of, _ := d.arrivals("v2"); return of }).WithTimeout(time.Second).Should(Equal(before))
-		d.Store.SetFault(platformtest.StoreWell)
+		d.Store.SetFault(platformtest.StoreHealthy)
 		Eventually(d.readRecord).WithTimeout(20 * time.Second).Should(Equal(rolloutRecord{"completed", "v2"}))
 	})
 
@@ -232,7 +232,7 @@
 		d := deployRollout(1)
 		d.order("v2", 3, well)
 		Eventually(d.readRecord).Should(Equal(rolloutRecord{"completed", "v2"}))
-		for _, e := range d.Of("simple")[:3] {
+		for _, e := range d.EnginesOf("simple")[:3] {
 			d.Store.Remove("servers/" + e.ID)
 			e.Close()
 		}
@@ -245,7 +245,7 @@
 
 	It("of a version that fails is passed over by instances of which the first request comes later", func() {
 		d := deployRollout(1)
-		d.order("v2", 1, func(e *platformtest.Engine) { e.Always(platformtest.Fail) })
+		d.order("v2", 1, func(e *platformtest.Engine) { e.SetDefaultFault(platformtest.InternalError) })
 		Eventually(d.readRecord).Should(Equal(rolloutRecord{"reverted", "v2"}))
 		before := d.awaitQuiet("v2")
 		for range 3 {
--- a/cmd/cobaltcroftd/gateway/stages_test.go
+++ b/cmd/cobaltcroftd/gateway/stages_test.go
@@ -32,15 +32,15 @@
 	kept := func() int {
 		n := 0
 		for _, e := range d.Engines {
-			n += e.Kept()
+			n += e.UnfreedResults()
 		}
 		return n
 	}
 
 	calls := func(service string) int {
 		n := 0
-		for _, e := range d.Of(service) {
-			n += e.Arrived()
+		for _, e := range d.EnginesOf(service) {
+			n += e.RequestCount()
 		}
 		return n
 	}
@@ -67,29 +67,29 @@
 		Expect(run[0].Header.Get("Cobaltcroft-Inputs")).To(MatchRegexp("^[^,]+,[^,]+,[^,]+,[^,]+$"))
 		Eventually(kept).Should(BeZero())
 		for _, e := range d.Engines {
-			Expect(e.Broken()).To(BeEmpty())
+			Expect(e.Violations()).To(BeEmpty())
 		}
 	})
 
 	DescribeTable("are served though an endpoint fails",
 		func(service string, fault platformtest.Fault) {
 			i := start(d.Address())
-			for _, e := range d.Of(service) {
-				e.Next(fault)
+			for _, e := range d.EnginesOf(service) {
+				e.QueueFaults(fault)
 			}
 			id, got := staged(i)
 			served(id, got)
 			Eventually(kept).Should(BeNumerically("<=", 6))
 		},
-		Entry("that has no room", "second", platformtest.NoRoom),
-		Entry("that is full", "first", platformtest.Full),
-		Entry("whose answer is lost", "second", platformtest.LoseAnswer),
-		Entry("that answers with a failure", "third", platformtest.Fail),
+		Entry("that has no room", "second", platformtest.OutOfMemory),
+		Entry("that is full", "first", platformtest.RejectNotRun),
+		Entry("whose answer is lost", "second", platformtest.DropResponse),
+		Entry("that answers with a failure", "third", platformtest.InternalError),
 	)
 
 	It("are made again when an engine says that an input is gone", func() {
 		i := start(d.Address())
-		d.Of("model")[0].Next(platformtest.InputGone)
+		d.EnginesOf("model")[0].QueueFaults(platformtest.MissingInput)
 		for range 4 {
 			id, got := staged(i)
 			served(id, got)
@@ -98,7 +98,7 @@
 
 	It("go on at another engine with inputs made anew, when the stream breaks off", func() {
 		i := start(d.Address())
-		d.Of("model")[0].Always(platformtest.BreakOff)
+		d.EnginesOf("model")[0].SetDefaultFault(platformtest.TruncateResponse)
 		for range 4 {
 			id, got := staged(i)
 			served(id, got)
@@ -113,8 +113,8 @@
 		a := start(d.Address())
 		b := start(d.Address(), a.Peers)
 		// Until the instances know each other each makes its own calls, which is allowed.
-		for _, e := range append(d.Of("first"), d.Of("second")...) {
-			e.SetTimes(60*time.Millisecond, 0)
+		for _, e := range append(d.EnginesOf("first"), d.EnginesOf("second")...) {
+			e.SetTiming(60*time.Millisecond, 0)
 		}
 		var group sync.WaitGroup
 		const each = 12
@@ -135,8 +135,8 @@
 	It("go on when the instance that makes their stages dies", func() {
 		a := start(d.Address())
 		b := start(d.Address(), a.Peers)
-		for _, e := range append(d.Of("first"), d.Of("second")...) {
-			e.SetTimes(100*time.Millisecond, 0)
+		for _, e := range append(d.EnginesOf("first"), d.EnginesOf("second")...) {
+			e.SetTiming(100*time.Millisecond, 0)
 		}
 		var ok atomic.Int32
 		var group sync.WaitGroup
@@ -155,8 +155,8 @@
 	})
 
 	It("are refused, not run, before a planned stop ends that would cut them", func() {
-		for _, e := range d.Of("second") {
-			e.SetTimes(20*time.Second, 0)
+		for _, e := range d.EnginesOf("second") {
+			e.SetTiming(20*time.Second, 0)
 		}
 		for _, service := range d.Config.Services[2:] {
 			service["Segments"].(map[string]any)["CallMs"] = 9000.0
@@ -164,7 +164,7 @@
 		for n := range d.Config.Routes {
 			d.Config.Routes[n].SloMs, d.Config.Routes[n].TimeoutMs = 200_000, 200_000
 		}
-		d.Put()
+		d.PutConfig()
 		i := start(d.Address())
 		type sent struct {
 			id string
@@ -188,13 +188,13 @@
 	})
 
 	It("are given up, not run, while their callers have time to come back", func() {
-		for _, e := range d.Of("first") {
-			e.Always(platformtest.Full)
+		for _, e := range d.EnginesOf("first") {
+			e.SetDefaultFault(platformtest.RejectNotRun)
 		}
 		for n := range d.Config.Routes {
 			d.Config.Routes[n].TimeoutMs = 20_000
 		}
-		d.Put()
+		d.PutConfig()
 		i := start(d.Address())
 		id := newID()
 		r := i.request(http.MethodPost, "staged", id, "")
@@ -213,7 +213,7 @@
 		for _, service := range d.Config.Services[2:] {
 			service["Segments"].(map[string]any)["CallMs"] = 2000.0
 		}
-		d.Put()
+		d.PutConfig()
 		Eventually(func() int {
 			id := newID()
 			r := i.request(http.MethodPost, "staged", id, "")
