--- a/service/handover/progress.go
+++ b/service/handover/progress.go
@@ -48,7 +48,7 @@
 		return nil
 	}
 	if stage < 0 || stage >= len(made) {
-		return problem.New(problem.Invalid, "run the same version on all instances", "progress report for a plan of %d stages: no stage %d", len(made), stage)
+		return problem.New(problem.Invalid, "run one version of the program", "progress report for a plan of %d stages: no stage %d", len(made), stage)
 	}
 	made[stage] = results
 	return nil
--- a/service/peers/client.go
+++ b/service/peers/client.go
@@ -114,7 +114,7 @@
 	}
 	c.usage.add(method, Responses, len(answer))
 	if err := json.Unmarshal(answer, result); err != nil {
-		return problem.Wrap(err, problem.Unknown, "run the same version on all instances", "invalid answer from peer %s to %s", address, method)
+		return problem.Wrap(err, problem.Unknown, "run one version of the program", "invalid answer from peer %s to %s", address, method)
 	}
 	return nil
 }
--- a/service/peers/datagram.go
+++ b/service/peers/datagram.go
@@ -104,7 +104,7 @@
 	}
 	var wire pb.Heartbeat
 	if err := proto.Unmarshal(data[signatureSize:], &wire); err != nil {
-		return datagram{}, problem.Wrap(err, problem.Invalid, "run the same version on all instances", "invalid heartbeat")
+		return datagram{}, problem.Wrap(err, problem.Invalid, "run one version of the program", "invalid heartbeat")
 	}
 	b := datagram{
 		heartbeat: membership.Heartbeat{
--- a/service/peers/server.go
+++ b/service/peers/server.go
@@ -217,7 +217,7 @@
 
 // UnknownMethod returns the error for a method that a handler does not implement.
 func UnknownMethod(method string) error {
-	return problem.New(problem.NotFound, "run the same version on all instances", "unknown method %q", method)
+	return problem.New(problem.NotFound, "run one version of the program", "unknown method %q", method)
 }
 
 func (h InstanceHandler) forward(ctx context.Context, f api.ForwardRequest) api.Result {
@@ -248,10 +248,10 @@
 func DecodeParams[T any](method string, raw json.RawMessage) (T, error) {
 	var v T
 	if len(raw) == 0 {
-		return v, problem.New(problem.Invalid, "run the same version on all instances", "method %s: missing parameters", method)
+		return v, problem.New(problem.Invalid, "run one version of the program", "method %s: missing parameters", method)
 	}
 	if err := json.Unmarshal(raw, &v); err != nil {
-		return v, problem.Wrap(err, problem.Invalid, "run the same version on all instances", "method %s: invalid parameters", method)
+		return v, problem.Wrap(err, problem.Invalid, "run one version of the program", "method %s: invalid parameters", method)
 	}
 	return v, nil
 }
