--- a/pkg/config/bench_test.go
+++ b/pkg/config/bench_test.go
@@ -9,15 +9,14 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/config"
 )
 
-// designOrganisations and designChanges are the sizes of the users' plan: all
-// organisations, and two days' changes.
+// The size of a large configuration and its history.
 const (
-	designOrganisations = 15_000
-	designChanges       = 20_000
+	largeOrganisations = 15_000
+	largeChanges       = 20_000
 )
 
-// large returns a configuration of the design size, and the replica that holds it.
-func large(organisations, changes int) (*config.Configuration, *config.Replica) {
+// newLargeConfiguration returns a configuration of the given size, and a replica that holds it.
+func newLargeConfiguration(organisations, changes int) (*config.Configuration, *config.Replica) {
 	first := config.Change{ID: "first", Revision: 1}
 	for i := range organisations {
 		first.Operations = append(first.Operations, putOrganisation(fmt.Sprintf("organisation-%05d", i), 1))
@@ -39,12 +38,11 @@
 	return c, replica
 }
 
-// BenchmarkApply measures taking over one accepted change, BenchmarkCheck checking
-// one before it is accepted.
+// BenchmarkApply measures applying an accepted change.
 func BenchmarkApply(b *testing.B) {
-	for _, n := range []int{1500, designOrganisations} {
+	for _, n := range []int{1500, largeOrganisations} {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
-			c, _ := large(n, 10)
+			c, _ := newLargeConfiguration(n, 10)
 			change := config.Change{ID: "c", Revision: c.Revision() + 1, Operations: []config.Operation{putOrganisation("organisation-00001", 3)}}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -54,17 +52,18 @@
 	}
 }
 
+// BenchmarkCheck measures validating a change.
 func BenchmarkCheck(b *testing.B) {
-	c, _ := large(designOrganisations, 10)
+	c, _ := newLargeConfiguration(largeOrganisations, 10)
 	change := config.Change{ID: "c", Revision: c.Revision() + 1, Operations: []config.Operation{putOrganisation("organisation-00001", 3)}}
 	for b.Loop() {
 		_, _ = c.Check(change)
 	}
 }
 
-// BenchmarkPull measures what a peer gives to one that lags by one change, and by all.
+// BenchmarkPull measures creating updates for peers that lag by one change and by all.
 func BenchmarkPull(b *testing.B) {
-	_, replica := large(designOrganisations, 600)
+	_, replica := newLargeConfiguration(largeOrganisations, 600)
 	revision := replica.Current().Revision()
 	for name, from := range map[string]uint64{"one": revision - 1, "all": 0} {
 		b.Run("lag="+name, func(b *testing.B) {
@@ -78,18 +77,18 @@
 	}
 }
 
-// BenchmarkMemory gives the heap that a configuration of the design size takes.
+// BenchmarkMemory reports the heap size of a large configuration.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
-		before := heap()
-		c, replica := large(designOrganisations, designChanges)
-		b.ReportMetric(float64(heap()-before)/(1<<20), "MiB")
+		before := heapBytes()
+		c, replica := newLargeConfiguration(largeOrganisations, largeChanges)
+		b.ReportMetric(float64(heapBytes()-before)/(1<<20), "MiB")
 		runtime.KeepAlive(c)
 		runtime.KeepAlive(replica)
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/pkg/config/check.go
+++ b/pkg/config/check.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// The bounds on objects.
+// The limits on objects.
 const (
 	maxDeadlineMs  = 10 * 60 * 1000
 	maxStages      = 16
@@ -21,21 +21,21 @@
 	stageKinds  = []StageKind{Encoding, Retrieval, Reranking, Generation, Plain}
 )
 
-// faultsAfter returns every fault of a configuration that a change has led to from a
-// valid one, each naming the object, the field and the value. Empty means valid.
-// Looked at are the objects that the change touches, and all that may name them.
+// faultsAfter returns all faults that a change introduced into a previously valid
+// configuration, each with the object, the field and the value. Only objects that
+// the change modifies or that may refer to them are checked.
 func (c *Configuration) faultsAfter(change Change) []string {
 	k := &checker{configuration: c}
-	looked := map[Key]bool{}
+	affected := map[Key]bool{}
 	for _, op := range change.Operations {
-		looked[op.Key()] = true
+		affected[op.Key()] = true
 	}
 	for _, kind := range []Kind{KindPipeline, KindPlacement} {
 		for name := range c.objects[kind] {
-			looked[Key{kind, name}] = true
+			affected[Key{kind, name}] = true
 		}
 	}
-	for key := range looked {
+	for key := range affected {
 		if stored, ok := c.Get(key); ok {
 			k.key = key
 			k.object(stored.Object)
@@ -104,7 +104,7 @@
 		k.add("stage name %q: use letters, digits, '.', '_' or '-'", s.Name)
 	}
 	if names[s.Name] {
-		k.add("stage %q stands twice: give each its own name", s.Name)
+		k.add("duplicate stage name %q: use a unique name for each stage", s.Name)
 	}
 	names[s.Name] = true
 	service := k.configuration.Service(s.Service)
@@ -148,19 +148,20 @@
 	}
 }
 
-// cyclic tells whether the stages' inputs form a cycle.
+// cyclic reports whether the stages' inputs form a cycle.
 func (p *Pipeline) cyclic() bool {
 	done := make([]bool, len(p.Stages))
 	for range p.Stages {
-		if !p.settle(done) {
+		if !p.markReady(done) {
 			break
 		}
 	}
 	return slices.Contains(done, false)
 }
 
-// settle marks each stage whose inputs are all marked, and tells whether any was.
-func (p *Pipeline) settle(done []bool) bool {
+// markReady marks each stage whose inputs are all marked, and reports whether it
+// marked any.
+func (p *Pipeline) markReady(done []bool) bool {
 	progress := false
 	for i := range p.Stages {
 		if done[i] {
--- a/pkg/config/check_test.go
+++ b/pkg/config/check_test.go
@@ -10,7 +10,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
-var _ = Describe("checking a change as a whole", func() {
+var _ = Describe("validating a change", func() {
 	engine := config.Operation{Put: &config.Object{Service: &config.Service{Name: "engine", Kind: config.Generation, Concurrency: 4}}}
 	pipeline := func(p config.Pipeline) config.Operation {
 		return config.Operation{Put: &config.Object{Pipeline: &p}}
@@ -22,7 +22,7 @@
 		return err
 	}
 
-	It("accepts a right one", func() {
+	It("accepts a valid change", func() {
 		Expect(check(engine, pipeline(good))).To(Succeed())
 	})
 
@@ -43,7 +43,7 @@
 		Expect(check(config.Operation{Put: &config.Object{Evacuation: &config.Evacuation{Name: "a", Reason: strings.Repeat("x", 300)}}})).NotTo(Succeed())
 	})
 
-	It("lists every fault at once", func() {
+	It("reports all faults", func() {
 		bad := good
 		bad.DeadlineMs = 0
 		bad.Objective = "speed"
@@ -57,7 +57,7 @@
 			ContainSubstring("deadline_ms 0"),
 			ContainSubstring(`objective "speed"`),
 			ContainSubstring(`service "missing", which does not exist`),
-			ContainSubstring(`stage "a" stands twice`),
+			ContainSubstring(`duplicate stage name "a"`),
 			ContainSubstring(`after "nowhere", which does not exist`),
 			ContainSubstring(`of kind "encoding", its service "engine" of kind "generation"`),
 			ContainSubstring("organisation/huila: weight 0"),
--- a/pkg/config/configuration.go
+++ b/pkg/config/configuration.go
@@ -12,16 +12,16 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
-// Operation is one step of a change: exactly one of Put and Delete is set.
+// Operation is a single write within a change: exactly one of Put and Delete is set.
 type Operation struct {
 	Put    *Object `json:"put,omitempty"`
 	Delete *Key    `json:"delete,omitempty"`
-	// Base is the revision of the object that the change was made from; 0 says
-	// that it did not exist; nil asks for no check.
+	// Base is the expected current revision of the object; 0 means that it must
+	// not exist; nil disables the check.
 	Base *uint64 `json:"base,omitempty"`
 }
 
-// Key returns the key of the object that the operation touches.
+// Key returns the key of the object that the operation modifies.
 func (o Operation) Key() Key {
 	if o.Put != nil {
 		return o.Put.Key()
@@ -32,7 +32,7 @@
 	return Key{}
 }
 
-// Change is a set of operations that are accepted as a whole or not at all.
+// Change is a set of operations that are applied atomically.
 type Change struct {
 	ID         string      `json:"id"`
 	Author     string      `json:"author"`
@@ -41,7 +41,8 @@
 	Operations []Operation `json:"operations,omitempty"`
 }
 
-// Accepted is what is kept of a change for the history and for repeats.
+// Accepted is the record of an accepted change, kept for the history and for
+// deduplication of retries.
 type Accepted struct {
 	ID       string   `json:"id"`
 	Author   string   `json:"author"`
@@ -50,36 +51,36 @@
 	Keys     []string `json:"keys"`
 }
 
-// Stored is an object and the revision that last wrote it.
+// Stored is an object with the revision of its last write.
 type Stored struct {
 	Object   Object `json:"object"`
 	Revision uint64 `json:"revision"`
 }
 
-// Configuration is one immutable state of all objects. Use Apply to derive the next.
+// Configuration is an immutable snapshot of all objects. Apply derives the next one.
 type Configuration struct {
 	revision uint64
-	// digest chains the hashes of all changes, so that two instances can tell
-	// whether they mean the same by one revision.
+	// digest is a hash chain over all changes. Instances compare it to detect
+	// diverging histories at the same revision.
 	digest uint64
-	// objects by kind and name. A kind's map is shared with the configuration
-	// before if the change did not touch it.
+	// objects is indexed by kind and name. The maps of kinds that a change does
+	// not modify are shared with the previous configuration.
 	objects map[Kind]map[string]Stored
-	// accepted are the newest changes, oldest first, at most HistoryLength.
+	// accepted holds the last HistoryLength changes, oldest first.
 	accepted []Accepted
 }
 
-// HistoryLength is how many changes are remembered for History and for repeats:
-// two days at the 9,600 changes a day of the users' plan.
+// HistoryLength is the number of changes kept for the history and for
+// deduplication of retries.
 const HistoryLength = 20_000
 
 // Empty returns the configuration of revision 0.
 func Empty() *Configuration { return &Configuration{objects: map[Kind]map[string]Stored{}} }
 
-// Revision returns how many changes led to c.
+// Revision returns the number of changes applied up to c.
 func (c *Configuration) Revision() uint64 { return c.revision }
 
-// Digest returns the chained hash of the changes that led to c.
+// Digest returns the hash chain over the changes up to c.
 func (c *Configuration) Digest() uint64 { return c.digest }
 
 // Len returns the number of objects.
@@ -91,7 +92,7 @@
 	return n
 }
 
-// Get returns the object of a key.
+// Get returns the object with the given key.
 func (c *Configuration) Get(key Key) (Stored, bool) {
 	s, ok := c.objects[key.Kind][key.Name]
 	return s, ok
@@ -108,22 +109,22 @@
 	return keys
 }
 
-// Pipeline returns the pipeline of a name, or nil.
+// Pipeline returns the named pipeline, or nil.
 func (c *Configuration) Pipeline(name string) *Pipeline {
 	return c.objects[KindPipeline][name].Object.Pipeline
 }
 
-// Service returns the service of a name, or nil.
+// Service returns the named service, or nil.
 func (c *Configuration) Service(name string) *Service {
 	return c.objects[KindService][name].Object.Service
 }
 
-// Organisation returns the organisation of a name, or nil.
+// Organisation returns the named organisation, or nil.
 func (c *Configuration) Organisation(name string) *Organisation {
 	return c.objects[KindOrganisation][name].Object.Organisation
 }
 
-// Priority returns the priority of a name, or nil.
+// Priority returns the named priority, or nil.
 func (c *Configuration) Priority(name string) *Priority {
 	return c.objects[KindPriority][name].Object.Priority
 }
@@ -155,15 +156,15 @@
 	return placements
 }
 
-// Evacuated returns the failure domains whose endpoints get no new work, sorted.
+// Evacuated returns the evacuated failure domains, sorted.
 func (c *Configuration) Evacuated() []string {
 	return slices.Sorted(maps.Keys(c.objects[KindEvacuation]))
 }
 
-// Accepted returns the remembered changes, oldest first. Not to be changed.
+// Accepted returns the retained changes, oldest first. The caller must not modify the slice.
 func (c *Configuration) Accepted() []Accepted { return c.accepted }
 
-// FindChange returns the remembered change of an id.
+// FindChange returns the retained change with the given ID.
 func (c *Configuration) FindChange(id string) (Accepted, bool) {
 	for i := len(c.accepted) - 1; i >= 0; i-- {
 		if c.accepted[i].ID == id {
@@ -173,11 +174,11 @@
 	return Accepted{}, false
 }
 
-// Check returns a problem of kind Conflict or Invalid if the change cannot follow
-// c, with every fault listed; and otherwise the configuration after it.
+// Check validates a change against c and returns the resulting configuration. On
+// failure it returns a problem of kind Conflict or Invalid that lists every fault.
 func (c *Configuration) Check(change Change) (*Configuration, error) {
 	if len(change.Operations) == 0 {
-		return nil, problem.New(problem.Invalid, "give at least one operation", "change %s has no operations", change.ID)
+		return nil, problem.New(problem.Invalid, "include at least one operation", "change %s has no operations", change.ID)
 	}
 	if err := c.conflicts(change); err != nil {
 		return nil, err
@@ -187,7 +188,7 @@
 		return nil, err
 	}
 	if faults := next.faultsAfter(change); len(faults) > 0 {
-		p := problem.New(problem.Invalid, "correct each fault; nothing was changed", "change %s is not valid", change.ID)
+		p := problem.New(problem.Invalid, "correct the listed faults; nothing was changed", "change %s is invalid", change.ID)
 		p.Faults = faults
 		return nil, p
 	}
@@ -206,54 +207,54 @@
 	if len(faults) == 0 {
 		return nil
 	}
-	p := problem.New(problem.Conflict, "get the objects again, merge and apply with their revisions; nothing was changed", "change %s was made from older objects", change.ID)
+	p := problem.New(problem.Conflict, "fetch the objects again, merge and reapply with their current revisions; nothing was changed", "change %s is based on outdated revisions", change.ID)
 	p.Faults = faults
 	return p
 }
 
-// conflictText shows both sides of a conflict.
+// conflictText formats both versions of a conflicting object.
 func conflictText(op Operation, current Stored) string {
 	yours, _ := json.Marshal(op.Put)
 	theirs, _ := json.Marshal(current.Object)
 	base, _ := json.Marshal(*op.Base)
-	in, _ := json.Marshal(current.Revision)
-	return op.Key().String() + " was made from revision " + string(base) + ", in force is revision " + string(in) +
+	revision, _ := json.Marshal(current.Revision)
+	return op.Key().String() + " is based on revision " + string(base) + ", in force is revision " + string(revision) +
 		": yours " + string(yours) + ", in force " + string(theirs)
 }
 
-// Apply returns the configuration after an accepted change, whose revision must be
-// the next one. It does not check the objects.
+// Apply returns the configuration that results from an accepted change, which must
+// have the next revision. It does not validate the objects.
 func (c *Configuration) Apply(change Change) (*Configuration, error) {
 	if change.Revision != c.revision+1 {
-		return nil, problem.New(problem.Internal, "read the head again", "change %s of revision %d does not follow revision %d", change.ID, change.Revision, c.revision)
+		return nil, problem.New(problem.Internal, "read the head again", "change %s has revision %d, which does not follow revision %d", change.ID, change.Revision, c.revision)
 	}
 	next := &Configuration{
 		revision: change.Revision,
-		digest:   chain(c.digest, change),
+		digest:   chainDigest(c.digest, change),
 		objects:  maps.Clone(c.objects),
 		accepted: append(slices.Clip(c.accepted), summary(change)),
 	}
 	if excess := len(next.accepted) - HistoryLength; excess > 0 {
 		next.accepted = slices.Clone(next.accepted[excess:])
 	}
-	next.ownTouched(change)
+	next.cloneModified(change)
 	for _, op := range change.Operations {
-		if err := next.operate(op, change.Revision); err != nil {
+		if err := next.applyOperation(op, change.Revision); err != nil {
 			return nil, err
 		}
 	}
 	return next, nil
 }
 
-// ownTouched copies the maps of the kinds that the change touches.
-func (c *Configuration) ownTouched(change Change) {
-	owned := map[Kind]bool{}
+// cloneModified copies the object maps that the change modifies.
+func (c *Configuration) cloneModified(change Change) {
+	cloned := map[Kind]bool{}
 	for _, op := range change.Operations {
 		kind := op.Key().Kind
-		if owned[kind] {
+		if cloned[kind] {
 			continue
 		}
-		owned[kind] = true
+		cloned[kind] = true
 		c.objects[kind] = maps.Clone(c.objects[kind])
 		if c.objects[kind] == nil {
 			c.objects[kind] = map[string]Stored{}
@@ -261,10 +262,10 @@
 	}
 }
 
-func (c *Configuration) operate(op Operation, revision uint64) error {
+func (c *Configuration) applyOperation(op Operation, revision uint64) error {
 	key := op.Key()
 	if key == (Key{}) {
-		return problem.New(problem.Invalid, "set put with one object, or delete with a key", "an operation is empty")
+		return problem.New(problem.Invalid, "set put with one object, or delete with a key", "empty operation")
 	}
 	objects := c.objects[key.Kind]
 	if op.Put != nil {
@@ -272,7 +273,7 @@
 		return nil
 	}
 	if _, ok := objects[key.Name]; !ok {
-		return problem.New(problem.NotFound, "name an object that exists; nothing was changed", "no object %s to delete", key)
+		return problem.New(problem.NotFound, "specify an existing object; nothing was changed", "object %s does not exist", key)
 	}
 	delete(objects, key.Name)
 	return nil
@@ -286,8 +287,8 @@
 	return a
 }
 
-// chain hashes the digest before a change together with the change.
-func chain(digest uint64, change Change) uint64 {
+// chainDigest hashes the previous digest together with a change.
+func chainDigest(digest uint64, change Change) uint64 {
 	h := xxhash.New()
 	_, _ = h.Write(binary.LittleEndian.AppendUint64(nil, digest))
 	data, _ := json.Marshal(change)
@@ -295,7 +296,7 @@
 	return h.Sum64()
 }
 
-// NewChange returns a change ready to be submitted. The revision is set on acceptance.
+// NewChange returns a change for Submitter.Submit. Its revision is assigned on acceptance.
 func NewChange(id, author string, now time.Time, operations ...Operation) Change {
 	return Change{ID: id, Author: author, TimeMs: now.UnixMilli(), Operations: operations}
 }
--- a/pkg/config/follower.go
+++ b/pkg/config/follower.go
@@ -16,23 +16,25 @@
 )
 
 const (
-	// watchersPerDomain is how many instances of a failure domain hold the watch
-	// on the head. The others learn from their peers' heartbeats.
+	// watchersPerDomain is the number of instances per failure domain that watch
+	// the head. The others learn of new revisions from heartbeats.
 	watchersPerDomain = 2
-	// checkPeriod is the time between looks at whether this instance should watch.
-	checkPeriod = 250 * time.Millisecond
-	// behindQueue bounds the pulls that wait; more would bring nothing new.
-	behindQueue = 16
+	// watcherCheckPeriod is the interval between checks of whether this instance should
+	// watch, and between attempts to confirm the configuration.
+	watcherCheckPeriod = 250 * time.Millisecond
+	// pullQueueLength is the maximum number of queued pulls. Further ones are
+	// dropped, as each pull fetches the peer's latest configuration.
+	pullQueueLength = 16
 )
 
-// Peer is another instance of which a newer configuration may be had.
+// Peer is an instance from which a newer configuration can be pulled.
 type Peer struct {
 	Name          string
 	FailureDomain string
 	Address       string
 }
 
-// Puller reads an update from a peer.
+// Puller fetches updates from peers.
 type Puller interface {
 	Pull(ctx context.Context, address string, from uint64) (Update, error)
 }
@@ -40,43 +42,44 @@
 // FollowerOptions configure a Follower.
 type FollowerOptions struct {
 	Self Peer
-	// Peers returns the live ones.
+	// Peers returns the live peers.
 	Peers   func() []Peer
 	Puller  Puller
 	Timeout time.Duration
-	// AntiEntropy is the time between reads of the head without a watch.
+	// AntiEntropy is the mean interval between periodic reads of the head.
 	AntiEntropy time.Duration
-	// Confirmed is called once the replica is known to be as new as can be found out.
+	// Confirmed is called once the replica has been synchronised with the key-value
+	// service or, if that is unavailable, with a peer.
 	Confirmed func()
 	Clock     clockwork.Clock
 	Ring      *timeline.Ring
 	Log       *logrus.Entry
 }
 
-// Follower keeps a replica up to date: by a watch if this instance is one of its
-// domain's watchers, by pulls from peers that are ahead, and by reading the head
-// now and then.
+// Follower keeps a replica up to date by a watch, if this instance is one of its
+// failure domain's watchers, by pulls from peers with a higher revision, and by
+// periodic reads of the head.
 type Follower struct {
 	FollowerOptions
 	store   *Store
 	replica *Replica
 	kv      infra.KeyValue
-	behind  chan Peer
+	pulls   chan Peer
 	reached atomic.Bool
 }
 
 // NewFollower returns a follower; Run must be called for it to work.
 func NewFollower(o FollowerOptions, store *Store) *Follower {
-	return &Follower{FollowerOptions: o, store: store, replica: store.replica, kv: store.kv, behind: make(chan Peer, behindQueue)}
+	return &Follower{FollowerOptions: o, store: store, replica: store.replica, kv: store.kv, pulls: make(chan Peer, pullQueueLength)}
 }
 
-// Reached tells whether the key-value service answered the last time.
+// Reached reports whether the last call to the key-value service succeeded.
 func (f *Follower) Reached() bool { return f.reached.Load() }
 
-// Behind says that a peer is ahead. It does not block.
+// Behind schedules a pull from a peer with a higher revision. It does not block.
 func (f *Follower) Behind(p Peer) {
 	select {
-	case f.behind <- p:
+	case f.pulls <- p:
 	default:
 	}
 }
@@ -90,20 +93,20 @@
 	t.Go(func() error { return f.watch(ctx) })
 }
 
-// confirm tries until the replica is as new as can be found out: from the service,
-// or if that is out from every peer that can be reached, one at least.
+// confirm retries until the replica is synchronised with the service or, if that is
+// unavailable, with all reachable peers, of which there must be at least one.
 func (f *Follower) confirm(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if _, err := f.refresh(ctx); err == nil || f.askPeers(ctx) {
+		if _, err := f.refresh(ctx); err == nil || f.pullFromPeers(ctx) {
 			f.Confirmed()
 			return nil
 		}
-		f.pause(ctx, checkPeriod)
+		f.pause(ctx, watcherCheckPeriod)
 	}
 	return nil
 }
 
-func (f *Follower) askPeers(ctx context.Context) bool {
+func (f *Follower) pullFromPeers(ctx context.Context) bool {
 	answered := false
 	for _, peer := range f.Peers() {
 		answered = f.pullFrom(ctx, peer) || answered
@@ -117,15 +120,15 @@
 	defer cancel()
 	before := f.replica.Current().Revision()
 	revision, version, err := f.store.Refresh(ctx)
-	f.note(err)
+	f.recordReachability(err)
 	if err == nil && revision < before {
-		f.noteLower(revision, before)
+		f.recordStaleRevision(revision, before)
 	}
 	return version, err
 }
 
-// note records when the service is lost and when it is back.
-func (f *Follower) note(err error) {
+// recordReachability records when the service becomes unavailable or available.
+func (f *Follower) recordReachability(err error) {
 	was := f.reached.Swap(err == nil)
 	if was == (err == nil) {
 		return
@@ -139,17 +142,18 @@
 	f.Log.WithField("event", timeline.PlatformLost).Warn(err)
 }
 
-// noteLower records that the service offered a lower revision than was in force.
-func (f *Follower) noteLower(offered, inForce uint64) {
-	f.Ring.Add(timeline.Event{Kind: timeline.RevisionIgnored, Detail: "the key-value service offered a lower revision"})
+// recordStaleRevision records that the service returned a lower revision than the
+// one in force.
+func (f *Follower) recordStaleRevision(offered, inForce uint64) {
+	f.Ring.Add(timeline.Event{Kind: timeline.RevisionIgnored, Detail: "key-value service returned a lower revision"})
 	f.Log.WithFields(logrus.Fields{"event": timeline.RevisionIgnored, "offered": offered, "in_force": inForce}).Warn()
 }
 
-// pull brings the replica up to peers that are ahead.
+// pull updates the replica from peers with a higher revision.
 func (f *Follower) pull(ctx context.Context) error {
 	for {
 		select {
-		case peer := <-f.behind:
+		case peer := <-f.pulls:
 			f.pullFrom(ctx, peer)
 		case <-ctx.Done():
 			return nil
@@ -157,7 +161,7 @@
 	}
 }
 
-// pullFrom pulls from one peer, and tells whether it answered rightly.
+// pullFrom pulls from a peer, and reports whether it returned a valid update.
 func (f *Follower) pullFrom(ctx context.Context, peer Peer) bool {
 	ctx, cancel := context.WithTimeout(ctx, f.Timeout)
 	defer cancel()
@@ -172,14 +176,14 @@
 	return true
 }
 
-// poll reads the head now and then, more often while the service is out.
+// poll reads the head periodically, more often while the service is unavailable.
 func (f *Follower) poll(ctx context.Context) error {
 	for ctx.Err() == nil {
 		period := f.AntiEntropy
 		if !f.Reached() {
 			period = min(period, time.Second)
 		}
-		// Spread out, so that not all instances read at once.
+		// Jitter keeps the instances from reading at the same time.
 		f.pause(ctx, period/2+time.Duration(rand.Int64N(int64(period))))
 		if ctx.Err() == nil {
 			f.refresh(ctx)
@@ -188,20 +192,20 @@
 	return nil
 }
 
-// watch holds the watch on the head while this instance is one of the watchers.
+// watch watches the head while this instance is one of the watchers.
 func (f *Follower) watch(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if f.Watches() {
-			f.hold(ctx)
+			f.watchHead(ctx)
 		}
-		f.pause(ctx, checkPeriod)
+		f.pause(ctx, watcherCheckPeriod)
 	}
 	return nil
 }
 
-// hold watches until the watch breaks or this instance is no longer a watcher. The
-// watch begins behind the version that was read, so that no change falls between.
-func (f *Follower) hold(ctx context.Context) {
+// watchHead watches until the watch fails or this instance is no longer a watcher.
+// The watch starts after the version that was read, so that no change is missed.
+func (f *Follower) watchHead(ctx context.Context) {
 	version, err := f.refresh(ctx)
 	if err != nil {
 		return
@@ -211,14 +215,14 @@
 	go f.cancelWhenReplaced(ctx, cancel)
 	err = f.kv.Watch(ctx, HeadKey, version, func(value infra.Value) { f.offer(ctx, value) })
 	if ctx.Err() == nil {
-		f.note(err)
+		f.recordReachability(err)
 	}
 }
 
-// cancelWhenReplaced ends the watch when others are to hold it.
+// cancelWhenReplaced cancels the watch when this instance is no longer a watcher.
 func (f *Follower) cancelWhenReplaced(ctx context.Context, cancel func()) {
 	for ctx.Err() == nil && f.Watches() {
-		f.pause(ctx, checkPeriod)
+		f.pause(ctx, watcherCheckPeriod)
 	}
 	cancel()
 }
@@ -229,9 +233,9 @@
 	}
 }
 
-// Watches tells whether this instance is one of its domain's watchers, which all
-// instances work out alike from the live members: those with the highest hash of
-// name and key (rendezvous hashing). go-rendezvous would do, but its Remove panics.
+// Watches reports whether this instance is one of its failure domain's watchers.
+// They are chosen by rendezvous hashing over the live members. go-rendezvous is not
+// used because its Remove panics.
 func (f *Follower) Watches() bool {
 	own := watchWeight(f.Self.Name)
 	higher := 0
--- a/pkg/config/object.go
+++ b/pkg/config/object.go
@@ -1,16 +1,16 @@
-// Package config holds the operators' configuration: its objects, their checks,
-// the accepted changes, and the store that keeps them in the platform's key-value
-// service.
+// Package config implements the operators' configuration: its objects, their
+// validation, the change history, and the store that persists them in the platform's
+// key-value service.
 package config
 
 import (
 	"time"
 )
 
-// Kind of an object.
+// Kind is the type of a configuration object.
 type Kind string
 
-// The kinds of object.
+// The object kinds.
 const (
 	KindPipeline     Kind = "pipeline"
 	KindService      Kind = "service"
@@ -20,36 +20,36 @@
 	KindEvacuation   Kind = "evacuation"
 )
 
-// Key names one object.
+// Key identifies an object.
 type Key struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 }
 
-// String gives kind/name.
+// String returns the key as kind/name.
 func (k Key) String() string { return string(k.Kind) + "/" + k.Name }
 
-// Objective says which measure a pipeline's decisions put first.
+// Objective is the measure that scheduling optimises first for a pipeline.
 type Objective string
 
 // The objectives.
 const (
-	// Attainment puts whole answers within the deadline first.
+	// Attainment maximises the share of complete responses within the deadline.
 	Attainment Objective = "attainment"
-	// Cost puts endpoint time per whole answer first.
+	// Cost minimises endpoint time per complete response.
 	Cost Objective = "cost"
 )
 
-// StageKind is the kind of work a stage does.
+// StageKind is the type of work a stage performs.
 type StageKind string
 
-// The kinds of stage.
+// The stage kinds.
 const (
 	Encoding   StageKind = "encoding"
 	Retrieval  StageKind = "retrieval"
 	Reranking  StageKind = "reranking"
 	Generation StageKind = "generation"
-	// Plain is a service that is not a model.
+	// Plain is a service that does not serve a model.
 	Plain StageKind = "plain"
 )
 
@@ -61,8 +61,8 @@
 	Model   string    `json:"model,omitempty"`
 	Adapter string    `json:"adapter,omitempty"`
 	Version string    `json:"version,omitempty"`
-	// After names the stages whose results this one reads. Empty: the stage
-	// before it in the list; the first reads the request's input.
+	// After names the stages whose results this stage reads. If empty, it reads
+	// the previous stage in the list; the first stage reads the request's input.
 	After []string `json:"after,omitempty"`
 }
 
@@ -70,16 +70,16 @@
 type Pipeline struct {
 	Name      string    `json:"name"`
 	Objective Objective `json:"objective"`
-	// DeadlineMs is the longest time a request may take, in milliseconds.
+	// DeadlineMs is the maximum duration of a request, in milliseconds.
 	DeadlineMs uint32  `json:"deadline_ms"`
 	Stages     []Stage `json:"stages"`
 }
 
-// Deadline returns the longest time a request may take.
+// Deadline returns the maximum duration of a request.
 func (p *Pipeline) Deadline() time.Duration { return time.Duration(p.DeadlineMs) * time.Millisecond }
 
-// Inputs returns for the stage at index i the indices of the stages whose results
-// it reads; empty if it reads the request's input.
+// Inputs returns the indices of the stages whose results stage i reads. It is
+// empty if the stage reads the request's input.
 func (p *Pipeline) Inputs(i int) []int {
 	after := p.Stages[i].After
 	if len(after) == 0 {
@@ -106,52 +106,52 @@
 	return -1
 }
 
-// Service is a group of endpoints that do the same work.
+// Service is a group of interchangeable endpoints.
 type Service struct {
 	Name string    `json:"name"`
 	Kind StageKind `json:"kind"`
-	// Concurrency is how many calls one endpoint runs at once.
+	// Concurrency is the number of concurrent calls per endpoint.
 	Concurrency uint32 `json:"concurrency"`
 }
 
 // Organisation is a caller's account.
 type Organisation struct {
 	Name string `json:"name"`
-	// Weight is the organisation's share relative to the others; at least 1.
+	// Weight is the organisation's relative share of capacity; at least 1.
 	Weight uint32 `json:"weight"`
-	// MaxConcurrent bounds the requests in flight per instance; 0 is no bound.
+	// MaxConcurrent limits the requests in flight per instance; 0 means no limit.
 	MaxConcurrent uint32 `json:"max_concurrent,omitempty"`
-	// RequestsPerSecond bounds the rate over all instances; 0 is no bound.
+	// RequestsPerSecond limits the rate across all instances; 0 means no limit.
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty"`
 }
 
-// Priority is a class of requests; a higher rank is served first.
+// Priority is a class of requests; higher ranks are served first.
 type Priority struct {
 	Name string `json:"name"`
 	Rank uint32 `json:"rank"`
 }
 
-// Placement says how many endpoints of a service shall hold a model.
+// Placement sets the number of endpoints of a service that load a model.
 type Placement struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
 	Version string `json:"version,omitempty"`
-	// Replicas is the wanted number of endpoints in each failure domain.
+	// Replicas is the desired number of endpoints in each failure domain.
 	Replicas uint32 `json:"replicas"`
 }
 
-// Evacuation is the order that the endpoints of a failure domain get no new work, until it is deleted.
-// It is an object, so that it is accepted, spread, kept and taken back as reliably as any change.
+// Evacuation stops new work from being sent to the endpoints of a failure domain until it is deleted.
+// It is a configuration object so that it is validated, replicated and persisted like any other change.
 type Evacuation struct {
-	// Name is the failure domain's.
+	// Name is the name of the failure domain.
 	Name string `json:"name"`
-	// Reason is for those who read the order; may be empty.
+	// Reason is an optional explanation for operators.
 	Reason string `json:"reason,omitempty"`
 }
 
-// Object is one named part of the configuration; exactly one field is set.
+// Object is a named configuration object; exactly one field is set.
 type Object struct {
 	Pipeline     *Pipeline     `json:"pipeline,omitempty"`
 	Service      *Service      `json:"service,omitempty"`
@@ -161,7 +161,7 @@
 	Evacuation   *Evacuation   `json:"evacuation,omitempty"`
 }
 
-// Key returns the object's key; the zero Key if no field is set.
+// Key returns the object's key, or the zero Key if no field is set.
 func (o Object) Key() Key {
 	switch {
 	case o.Pipeline != nil:
--- a/pkg/config/record.go
+++ b/pkg/config/record.go
@@ -9,45 +9,45 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
-// The bounds on what is stored.
+// The size limits of stored records.
 const (
-	// maxHead is the size in bytes from which the head's changes are moved into
-	// a snapshot.
+	// maxHead is the size of the head record in bytes above which its changes are
+	// compacted into a snapshot.
 	maxHead = 256 << 10
-	// maxHeadChanges is the like bound on their number.
+	// maxHeadChanges is the number of changes in the head that triggers compaction.
 	maxHeadChanges = 256
-	// tailChanges and tailBytes bound the changes that stay in the head beside a
-	// new snapshot, so that those who lag little need not load it.
+	// tailChanges and tailBytes limit the changes that remain in the head after
+	// compaction, so that slightly outdated replicas need not load the snapshot.
 	tailChanges = 32
 	tailBytes   = 64 << 10
-	// chunkBytes is the size of one piece of a snapshot.
+	// chunkBytes is the maximum size of a snapshot chunk.
 	chunkBytes = 900 << 10
-	// maxSnapshot bounds an unpacked snapshot.
+	// maxSnapshot is the maximum size of a decompressed snapshot in bytes.
 	maxSnapshot = 256 << 20
 )
 
-// head is the one record that decides what is accepted. It is changed by
-// compare-and-swap alone.
+// head is the record that determines which changes are accepted. It is only
+// modified by compare-and-swap.
 type head struct {
 	Revision uint64 `json:"revision"`
 	// Digest is the configuration's digest at Revision.
 	Digest uint64 `json:"digest,string"`
-	// Snapshot is where the state at some earlier or the same revision is.
+	// Snapshot references a snapshot taken at Revision or earlier.
 	Snapshot snapshotRef `json:"snapshot"`
-	// Changes end at Revision. They begin at or before Snapshot.Revision + 1.
+	// Changes ends at Revision and starts at or before Snapshot.Revision + 1.
 	Changes []Change `json:"changes"`
-	// Retired are the chunks of the snapshot before, kept for those who read the
-	// previous head, and deleted at the next snapshot.
+	// Retired lists the chunks of the previous snapshot. They are kept for readers
+	// of the previous head and deleted after the next compaction.
 	Retired []string `json:"retired,omitempty"`
 }
 
-// snapshotRef names the immutable chunks of a snapshot.
+// snapshotRef references the immutable chunks of a snapshot.
 type snapshotRef struct {
 	Revision uint64   `json:"revision"`
 	Chunks   []string `json:"chunks,omitempty"`
 }
 
-// snapshot is the whole state, stored as gzipped JSON cut into chunks.
+// snapshot is the complete configuration, stored as gzipped JSON split into chunks.
 type snapshot struct {
 	Revision uint64     `json:"revision"`
 	Digest   uint64     `json:"digest,string"`
@@ -61,7 +61,7 @@
 	}
 	h := &head{}
 	if err := json.Unmarshal(data, h); err != nil {
-		return nil, problem.Wrap(err, problem.Internal, "restore the head record from the platform's backup", "the configuration's head does not parse")
+		return nil, problem.Wrap(err, problem.Internal, "restore the head record from the platform's backup", "failed to parse the configuration head record")
 	}
 	return h, nil
 }
@@ -71,7 +71,7 @@
 	return data
 }
 
-// trimTail leaves only the newest changes in the head.
+// trimTail drops all but the newest changes from the head.
 func (h *head) trimTail() {
 	size, first := 0, len(h.Changes)
 	for first > 0 && len(h.Changes)-first < tailChanges {
@@ -95,15 +95,15 @@
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
 	if err := json.NewEncoder(w).Encode(s); err != nil {
-		return nil, problem.Wrap(err, problem.Internal, "report this", "snapshot does not encode")
+		return nil, problem.Wrap(err, problem.Internal, "report this", "failed to encode snapshot")
 	}
 	if err := w.Close(); err != nil {
-		return nil, problem.Wrap(err, problem.Internal, "report this", "snapshot does not compress")
+		return nil, problem.Wrap(err, problem.Internal, "report this", "failed to compress snapshot")
 	}
 	return b.Bytes(), nil
 }
 
-// DecodeSnapshot reads what EncodeSnapshot wrote.
+// DecodeSnapshot decodes the output of EncodeSnapshot.
 func DecodeSnapshot(data []byte) (*Configuration, error) {
 	r, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
@@ -125,5 +125,5 @@
 }
 
 func corruptSnapshot(err error) error {
-	return problem.Wrap(err, problem.Unavailable, "read it again, or from another instance", "a configuration snapshot is corrupt")
+	return problem.Wrap(err, problem.Unavailable, "read it again, or from another instance", "corrupt configuration snapshot")
 }
--- a/pkg/config/replica.go
+++ b/pkg/config/replica.go
@@ -7,11 +7,11 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
-// recentChanges is how many whole changes a Replica keeps for peers that lag.
-const recentChanges = 512
+// maxRecentChanges is the number of changes that a Replica keeps for outdated peers.
+const maxRecentChanges = 512
 
-// Replica is an instance's copy of the configuration. It only ever moves forward.
-// Safe for concurrent use.
+// Replica is an instance's local copy of the configuration. Its revision never
+// decreases. Safe for concurrent use.
 type Replica struct {
 	current atomic.Pointer[Configuration]
 	mu      sync.Mutex
@@ -29,16 +29,17 @@
 // Current returns the configuration in force.
 func (r *Replica) Current() *Configuration { return r.current.Load() }
 
-// OnAdvance has f called after each move forward, with the new configuration, in
-// the order of the moves. f must not block.
+// OnAdvance registers f to be called with each new configuration, in revision
+// order. f must not block.
 func (r *Replica) OnAdvance(f func(*Configuration)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.notify = append(r.notify, f)
 }
 
-// Advance puts next in force if its revision is higher, and tells whether it did.
-// The changes, if any, are those that lead to next, for peers that lag.
+// Advance replaces the configuration with next if its revision is higher, and
+// reports whether it did. The changes, if any, lead to next and are kept for
+// outdated peers.
 func (r *Replica) Advance(next *Configuration, changes []Change) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,15 +48,15 @@
 		return false
 	}
 	r.current.Store(next)
-	r.remember(changes, next.revision)
+	r.record(changes, next.revision)
 	for _, f := range r.notify {
 		f(next)
 	}
 	return true
 }
 
-// remember keeps the changes if they continue without a gap up to revision.
-func (r *Replica) remember(changes []Change, revision uint64) {
+// record keeps the changes if they are contiguous up to revision.
+func (r *Replica) record(changes []Change, revision uint64) {
 	for _, change := range changes {
 		if n := len(r.recent); n > 0 && change.Revision <= r.recent[n-1].Revision {
 			continue
@@ -68,13 +69,13 @@
 	if n := len(r.recent); n > 0 && r.recent[n-1].Revision != revision {
 		r.recent = nil
 	}
-	if excess := len(r.recent) - recentChanges; excess > 0 {
+	if excess := len(r.recent) - maxRecentChanges; excess > 0 {
 		r.recent = append([]Change(nil), r.recent[excess:]...)
 	}
 }
 
-// Update is what a peer that lags is given: the changes since its revision, or a
-// snapshot where those are no longer kept.
+// Update brings an outdated peer up to date: it has the changes since the peer's
+// revision, or a snapshot if those are no longer kept.
 type Update struct {
 	Revision uint64   `json:"revision"`
 	Digest   uint64   `json:"digest,string"`
@@ -82,8 +83,8 @@
 	Snapshot []byte   `json:"snapshot,omitempty"`
 }
 
-// Since returns the update for a peer at revision from. It is empty if there is
-// nothing newer.
+// Since returns the update for a peer at revision from. It has neither changes nor
+// a snapshot if the peer is up to date.
 func (r *Replica) Since(from uint64) (Update, error) {
 	r.mu.Lock()
 	current := r.current.Load()
@@ -102,32 +103,31 @@
 	return u, err
 }
 
-// Accept checks an update of a peer against the digest and puts it in force if it
-// is newer. A corrupt update is refused with an error and changes nothing.
+// Accept applies an update from a peer if it is newer. An update whose digest does
+// not match is rejected and has no effect.
 func (r *Replica) Accept(u Update) (advanced bool, err error) {
 	current := r.Current()
 	if u.Revision <= current.revision {
 		return false, nil
 	}
-	next, err := follow(current, u)
+	next, err := applyUpdate(current, u)
 	if err != nil {
 		return false, err
 	}
 	if next.revision != u.Revision || next.digest != u.Digest {
-		return false, problem.New(problem.Unavailable, "read from the service or another peer", "an update to revision %d has digest %x, named %x", next.revision, next.digest, u.Digest)
+		return false, problem.New(problem.Unavailable, "read from the service or another peer", "digest mismatch in update to revision %d: computed %x, expected %x", next.revision, next.digest, u.Digest)
 	}
 	return r.Advance(next, u.Changes), nil
 }
 
-func follow(c *Configuration, u Update) (*Configuration, error) {
+func applyUpdate(c *Configuration, u Update) (*Configuration, error) {
 	if len(u.Snapshot) > 0 {
 		return DecodeSnapshot(u.Snapshot)
 	}
 	return applyAll(c, u.Changes)
 }
 
-// applyAll applies the changes that come after c's revision; earlier ones are
-// passed over.
+// applyAll applies the changes after c's revision and skips earlier ones.
 func applyAll(c *Configuration, changes []Change) (*Configuration, error) {
 	var err error
 	for _, change := range changes {
--- a/pkg/config/store.go
+++ b/pkg/config/store.go
@@ -10,35 +10,35 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
-// The keys in the key-value service.
+// Keys in the key-value service.
 const (
-	// HeadKey holds the head record.
+	// HeadKey is the key of the head record.
 	HeadKey     = "cobaltcroft/config/head"
 	chunkPrefix = "cobaltcroft/config/chunk/"
 )
 
-// Store keeps the configuration in the key-value service, and brings a Replica
-// forward from it.
+// Store persists the configuration in the key-value service and updates a Replica
+// from it.
 type Store struct {
 	kv      infra.KeyValue
 	replica *Replica
 }
 
-// NewStore returns a store over kv that brings replica forward.
+// NewStore returns a store over kv that updates replica.
 func NewStore(kv infra.KeyValue, replica *Replica) *Store {
 	return &Store{kv: kv, replica: replica}
 }
 
-// readHead is a head as it was read, with the version to compare with.
-type readHead struct {
+// versionedHead is a head record and its key's version for compare-and-swap.
+type versionedHead struct {
 	head    *head
 	version int64
 }
 
-// Refresh reads the head and brings the replica up to it. It returns the revision
-// that the service holds, which may be lower than the replica's if the service
-// lags or was restored, and the version of the head's key. The replica never goes
-// back.
+// Refresh reads the head and updates the replica to it. It returns the stored
+// revision, which is lower than the replica's if the read is stale or the service
+// was restored from a backup, and the version of the head's key. The replica's
+// revision never decreases.
 func (s *Store) Refresh(ctx context.Context) (revision uint64, version int64, err error) {
 	read, err := s.read(ctx)
 	if err != nil {
@@ -47,39 +47,39 @@
 	return read.head.Revision, read.version, nil
 }
 
-// Offer brings the replica up to a head that a watch delivered.
+// Offer updates the replica to a head record delivered by a watch.
 func (s *Store) Offer(ctx context.Context, value infra.Value) error {
 	h, err := decodeHead(value.Data)
 	if err != nil {
 		return err
 	}
-	return s.follow(ctx, h)
+	return s.catchUp(ctx, h)
 }
 
-func (s *Store) read(ctx context.Context) (readHead, error) {
+func (s *Store) read(ctx context.Context) (versionedHead, error) {
 	value, err := s.kv.Get(ctx, HeadKey)
 	if err != nil {
-		return readHead{}, err
+		return versionedHead{}, err
 	}
 	h, err := decodeHead(value.Data)
 	if err != nil {
-		return readHead{}, err
+		return versionedHead{}, err
 	}
-	if err := s.follow(ctx, h); err != nil {
-		return readHead{}, err
+	if err := s.catchUp(ctx, h); err != nil {
+		return versionedHead{}, err
 	}
-	return readHead{head: h, version: value.Version}, nil
+	return versionedHead{head: h, version: value.Version}, nil
 }
 
-// follow brings the replica up to h: by h's changes if they reach back far
-// enough, else from the snapshot.
-func (s *Store) follow(ctx context.Context, h *head) error {
+// catchUp updates the replica to h, using h's changes if they are contiguous with
+// the replica's revision, and the snapshot otherwise.
+func (s *Store) catchUp(ctx context.Context, h *head) error {
 	current := s.replica.Current()
 	if h.Revision <= current.revision {
 		return nil
 	}
 	if len(h.Changes) == 0 || h.Changes[0].Revision > current.revision+1 {
-		loaded, err := s.load(ctx, h.Snapshot)
+		loaded, err := s.loadSnapshot(ctx, h.Snapshot)
 		if err != nil {
 			return err
 		}
@@ -90,14 +90,14 @@
 		return err
 	}
 	if next.revision != h.Revision || next.digest != h.Digest {
-		return problem.New(problem.Internal, "compare the histories of the instances, then restore the head from the platform's backup", "the head of revision %d has digest %x, its changes give %x", h.Revision, h.Digest, next.digest)
+		return problem.New(problem.Internal, "compare the histories of the instances, then restore the head from the platform's backup", "digest mismatch at head revision %d: stored %x, computed %x", h.Revision, h.Digest, next.digest)
 	}
 	s.replica.Advance(next, h.Changes)
 	return nil
 }
 
-// load reads the snapshot that ref names.
-func (s *Store) load(ctx context.Context, ref snapshotRef) (*Configuration, error) {
+// loadSnapshot reads the snapshot that ref refers to.
+func (s *Store) loadSnapshot(ctx context.Context, ref snapshotRef) (*Configuration, error) {
 	if len(ref.Chunks) == 0 {
 		return Empty(), nil
 	}
@@ -108,15 +108,16 @@
 			return nil, err
 		}
 		if !value.Found() {
-			return nil, problem.New(problem.Unavailable, "read the head again; a newer snapshot has replaced this one", "chunk %s is gone", key)
+			return nil, problem.New(problem.Unavailable, "read the head again; a newer snapshot has replaced this one", "snapshot chunk %s not found", key)
 		}
 		data = append(data, value.Data...)
 	}
 	return DecodeSnapshot(data)
 }
 
-// save writes a snapshot of c as immutable chunks and returns their names.
-func (s *Store) save(ctx context.Context, c *Configuration) (snapshotRef, error) {
+// saveSnapshot writes a snapshot of c as immutable chunks and returns a reference
+// to them.
+func (s *Store) saveSnapshot(ctx context.Context, c *Configuration) (snapshotRef, error) {
 	data, err := EncodeSnapshot(c)
 	if err != nil {
 		return snapshotRef{}, err
@@ -127,7 +128,7 @@
 		size := min(len(data), chunkBytes)
 		key := fmt.Sprintf("%s/%d", name, i)
 		if _, err := s.kv.CompareAndSwap(ctx, key, 0, data[:size], 0); err != nil {
-			return snapshotRef{}, s.unsaved(ctx, append(ref.Chunks, key), err)
+			return snapshotRef{}, s.abortSnapshot(ctx, append(ref.Chunks, key), err)
 		}
 		ref.Chunks = append(ref.Chunks, key)
 		data = data[size:]
@@ -135,15 +136,16 @@
 	return ref, nil
 }
 
-// unsaved removes the chunks of a snapshot that was not finished. Nothing names
-// them yet, so the change was not accepted: the problem is never Unknown.
-func (s *Store) unsaved(ctx context.Context, chunks []string, cause error) error {
-	s.remove(ctx, chunks)
-	return problem.Wrap(cause, problem.Unavailable, "apply again later; nothing was changed", "a snapshot was not written")
+// abortSnapshot deletes the chunks of an incomplete snapshot. No head refers to
+// them, so the change was not accepted and the problem is never Unknown.
+func (s *Store) abortSnapshot(ctx context.Context, chunks []string, cause error) error {
+	s.deleteChunks(ctx, chunks)
+	return problem.Wrap(cause, problem.Unavailable, "apply again later; nothing was changed", "failed to write configuration snapshot")
 }
 
-// remove deletes chunks that no head names. One that stays costs space alone.
-func (s *Store) remove(ctx context.Context, chunks []string) {
+// deleteChunks deletes chunks that no head refers to. Failures are ignored: a
+// leftover chunk only uses storage.
+func (s *Store) deleteChunks(ctx context.Context, chunks []string) {
 	for _, key := range chunks {
 		if s.kv.Delete(ctx, key) != nil {
 			return
@@ -151,9 +153,9 @@
 	}
 }
 
-// write makes next, reached by changes from the configuration in force, the
-// accepted one, if the head still is the one read.
-func (s *Store) write(ctx context.Context, read readHead, before, next *Configuration, changes []Change) error {
+// write commits next, the result of applying changes to before, if the head has
+// not been modified since it was read.
+func (s *Store) write(ctx context.Context, read versionedHead, before, next *Configuration, changes []Change) error {
 	h, err := s.nextHead(ctx, read.head, before, next, changes)
 	if err != nil {
 		return err
@@ -161,14 +163,14 @@
 	newSnapshot := h.Snapshot.Revision != read.head.Snapshot.Revision
 	_, err = s.kv.CompareAndSwap(ctx, HeadKey, read.version, h.encode(), 0)
 	if newSnapshot && problem.KindOf(err) == problem.Conflict {
-		s.remove(ctx, h.Snapshot.Chunks)
+		s.deleteChunks(ctx, h.Snapshot.Chunks)
 	}
 	if err != nil {
 		return err
 	}
 	s.replica.Advance(next, changes)
 	if newSnapshot {
-		s.remove(ctx, read.head.Retired)
+		s.deleteChunks(ctx, read.head.Retired)
 	}
 	return nil
 }
@@ -176,8 +178,8 @@
 func (s *Store) nextHead(ctx context.Context, old *head, before, next *Configuration, changes []Change) (*head, error) {
 	h := &head{Revision: next.revision, Digest: next.digest, Snapshot: old.Snapshot, Retired: old.Retired}
 	h.Changes = append(append(h.Changes, old.Changes...), changes...)
-	// A service that was restored holds less than this instance has in force: its
-	// changes do not lead to before, so the state is written whole.
+	// If the service was restored from a backup, its changes do not lead to
+	// before, so the complete state is written.
 	restored := old.Revision != before.revision || old.Digest != before.digest
 	if restored {
 		h.Changes = changes
@@ -185,7 +187,7 @@
 	if !restored && len(h.Changes) <= maxHeadChanges && len(h.encode()) <= maxHead {
 		return h, nil
 	}
-	ref, err := s.save(ctx, next)
+	ref, err := s.saveSnapshot(ctx, next)
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -18,28 +18,28 @@
 	var (
 		service *standin.KeyValue
 		address string
-		a, b    *operator
+		a, b    *client
 	)
 
 	BeforeEach(func() {
 		service, address = newService()
-		a, b = newOperator(address), newOperator(address)
+		a, b = newClient(address), newClient(address)
 	})
 
-	weight := func(o *operator, name string) uint32 {
+	weight := func(o *client, name string) uint32 {
 		GinkgoHelper()
 		organisation := o.replica.Current().Organisation(name)
 		Expect(organisation).NotTo(BeNil())
 		return organisation.Weight
 	}
 
-	refresh := func(o *operator) {
+	refresh := func(o *client) {
 		GinkgoHelper()
 		_, _, err := o.store.Refresh(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 	}
 
-	It("is in force on the instance that took it and can be read by others", func() {
+	It("is in force on the submitting instance and readable by others", func() {
 		result, err := a.submit("one", putOrganisation("huila", 4))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result).To(Equal(config.Result{Revision: 1}))
@@ -48,7 +48,7 @@
 		Expect(b.replica.Current().Digest()).To(Equal(a.replica.Current().Digest()))
 	})
 
-	It("gives the first result to a repeat, on any instance", func() {
+	It("returns the first result to a retry, on any instance", func() {
 		_, err := a.submit("one", putOrganisation("huila", 4))
 		Expect(err).NotTo(HaveOccurred())
 		_, err = a.submit("two", putOrganisation("huila", 5))
@@ -59,7 +59,7 @@
 		Expect(weight(b, "huila")).To(Equal(uint32(5)))
 	})
 
-	It("finds by reading back that a write without an answer took effect", func() {
+	It("detects by reading back that a write with a lost response took effect", func() {
 		service.SetFaults(standin.KeyValueFaults{LoseAnswers: 1})
 		result, err := a.submit("one", putOrganisation("huila", 4))
 		Expect(err).NotTo(HaveOccurred())
@@ -68,7 +68,7 @@
 		Expect(b.replica.Current().Revision()).To(Equal(uint64(1)))
 	})
 
-	It("writes again when the write was lost before it took effect", func() {
+	It("retries a write that was lost before it took effect", func() {
 		service.SetFaults(standin.KeyValueFaults{LoseCalls: 1})
 		result, err := a.submit("one", putOrganisation("huila", 4))
 		Expect(err).NotTo(HaveOccurred())
@@ -77,7 +77,7 @@
 		Expect(b.replica.Current().Accepted()).To(HaveLen(1))
 	})
 
-	It("says unknown, and never accepted or not accepted, while the fate can't be read", func() {
+	It("reports unknown, neither accepted nor rejected, while the outcome cannot be read", func() {
 		service.SetFaults(standin.KeyValueFaults{LoseAnswers: 1000})
 		ctx, cancel := context.WithTimeout(context.Background(), 600*time.Millisecond)
 		defer cancel()
@@ -92,7 +92,7 @@
 		Expect(result).To(Equal(config.Result{Revision: 1, Repeated: true}))
 	})
 
-	It("is not accepted, and later isn't either, when the service is out", func() {
+	It("is not accepted, now or later, when the service is unavailable", func() {
 		service.SetFaults(standin.KeyValueFaults{Outage: true})
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
@@ -104,14 +104,14 @@
 		Expect(b.replica.Current().Revision()).To(BeZero())
 	})
 
-	It("shows both sides of a race and accepts one", func() {
+	It("accepts one of two concurrent changes and reports both versions in the conflict", func() {
 		_, err := a.submit("zero", putOrganisation("huila", 1))
 		Expect(err).NotTo(HaveOccurred())
 		var wg sync.WaitGroup
 		errs := make([]error, 2)
-		for i, o := range []*operator{a, b} {
+		for i, o := range []*client{a, b} {
 			wg.Go(func() {
-				_, errs[i] = o.submit(fmt.Sprintf("race-%d", i), based(putOrganisation("huila", uint32(10+i)), 1))
+				_, errs[i] = o.submit(fmt.Sprintf("race-%d", i), withBase(putOrganisation("huila", uint32(10+i)), 1))
 			})
 		}
 		wg.Wait()
@@ -125,13 +125,13 @@
 		}
 	})
 
-	It("loses no change of many that race without naming revisions", func() {
+	It("loses no change when many are submitted concurrently without base revisions", func() {
 		const changes = 40
 		var wg sync.WaitGroup
 		for i := range changes {
 			wg.Go(func() {
 				defer GinkgoRecover()
-				o := []*operator{a, b}[i%2]
+				o := []*client{a, b}[i%2]
 				_, err := o.submit(fmt.Sprintf("c-%d", i), putOrganisation(fmt.Sprintf("org-%d", i), 1))
 				Expect(err).NotTo(HaveOccurred())
 			})
@@ -154,7 +154,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(revision).To(Equal(uint64(1)), "the read is stale")
 		Expect(weight(a, "huila")).To(Equal(uint32(2)))
-		By("nor is a change accepted on the strength of a stale read")
+		By("not accepting a change based on a stale read")
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		before := service.Counts().Writes
@@ -165,7 +165,7 @@
 		}()
 		Eventually(func() int { return service.Counts().Writes - before }).Should(BeNumerically(">=", 2))
 		Consistently(ended).WithTimeout(100 * time.Millisecond).ShouldNot(Receive())
-		// It ends as given up, and not by a deadline that may cut a write off, whose fate is unknown then.
+		// Cancelling, unlike a deadline, cannot interrupt a write and leave its outcome unknown.
 		cancel()
 		Eventually(ended).Should(Receive(&err))
 		Expect(problem.KindOf(err)).To(Equal(problem.Unavailable))
@@ -178,7 +178,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(revision).To(Equal(uint64(2)))
 		Expect(weight(a, "huila")).To(Equal(uint32(3)))
-		By("the next change brings the restored service up to what is in force")
+		By("writing the complete state to the restored service with the next change")
 		result, err := a.submit("four", putOrganisation("pasto", 1))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result.Revision).To(Equal(uint64(4)))
@@ -186,9 +186,9 @@
 		Expect(weight(b, "huila")).To(Equal(uint32(3)))
 	})
 
-	It("keeps 15,000 organisations in chunks under the service's bound, and collects old ones", func() {
-		// Its writes are large, and no outage is played: how long one takes is not what it is about.
-		a := newPatientOperator(address, time.Minute)
+	It("stores 15,000 organisations in chunks under the value size limit and deletes old chunks", func() {
+		// The writes are large, so calls get a long timeout.
+		a := newClientWithTimeout(address, time.Minute)
 		for i := range 3 {
 			var operations []config.Operation
 			for j := range 5000 {
@@ -206,14 +206,14 @@
 			Expect(err).NotTo(HaveOccurred())
 		}
 		Expect(service.Keys("cobaltcroft/config/chunk/")).To(BeNumerically("<=", 2*chunks+1))
-		fresh := newOperator(address)
+		fresh := newClient(address)
 		refresh(fresh)
 		Expect(fresh.replica.Current().Digest()).To(Equal(a.replica.Current().Digest()))
 		Expect(fresh.replica.Current().Accepted()).To(HaveLen(int(a.replica.Current().Revision())))
 	})
 })
 
-// outageAfterFirstWrite switches the service off as soon as it has taken a write.
+// outageAfterFirstWrite makes the service unavailable after its first write.
 func outageAfterFirstWrite(service *standin.KeyValue) (stop func()) {
 	done := make(chan struct{})
 	var once sync.Once
@@ -232,7 +232,7 @@
 }
 
 var _ = Describe("a replica", func() {
-	It("only moves forward, whoever asks", func() {
+	It("never moves to a lower revision", func() {
 		first, err := config.Empty().Apply(config.Change{ID: "one", Revision: 1, Operations: []config.Operation{putOrganisation("huila", 1)}})
 		Expect(err).NotTo(HaveOccurred())
 		second, err := first.Apply(config.Change{ID: "two", Revision: 2, Operations: []config.Operation{putOrganisation("huila", 2)}})
@@ -251,7 +251,7 @@
 var _ = Describe("an update from a peer", func() {
 	It("is refused if it is corrupt or lower, and changes nothing", func() {
 		_, address := newService()
-		a := newOperator(address)
+		a := newClient(address)
 		for i := range 3 {
 			_, err := a.submit(fmt.Sprint(i), putOrganisation("huila", uint32(i+1)))
 			Expect(err).NotTo(HaveOccurred())
@@ -282,12 +282,12 @@
 		Expect(peer.Current().Digest()).To(Equal(a.replica.Current().Digest()))
 	})
 
-	It("is a snapshot where the changes are no longer kept", func() {
+	It("is a snapshot if the changes are no longer kept", func() {
 		_, address := newService()
-		a := newOperator(address)
+		a := newClient(address)
 		_, err := a.submit("one", putOrganisation("huila", 1))
 		Expect(err).NotTo(HaveOccurred())
-		fresh := newOperator(address)
+		fresh := newClient(address)
 		_, _, err = fresh.store.Refresh(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		relayed := config.NewReplica()
--- a/pkg/config/submitter.go
+++ b/pkg/config/submitter.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// maxBatch bounds the changes written in one swap.
+	// maxBatch is the maximum number of changes written in one compare-and-swap.
 	maxBatch = 64
-	// firstPause and maxPause bound the random pause after a lost race or an
-	// outage.
-	firstPause = 5 * time.Millisecond
-	maxPause   = 250 * time.Millisecond
+	// initialBackoff and maxBackoff are the bounds of the randomised backoff after
+	// a conflict or an outage.
+	initialBackoff = 5 * time.Millisecond
+	maxBackoff     = 250 * time.Millisecond
 )
 
-// Result of a submitted change that was accepted.
+// Result is the result of an accepted change.
 type Result struct {
 	Revision uint64
-	// Repeated is true if the change had been accepted before this call.
+	// Repeated is set if the change had already been accepted before this call.
 	Repeated bool
 }
 
-// Submitter writes the changes submitted at one instance, those that wait
-// together in one swap.
+// Submitter writes the changes submitted at one instance. Queued changes are
+// written in batches, each with one compare-and-swap.
 type Submitter struct {
 	store *Store
 	queue chan *submission
@@ -36,10 +36,10 @@
 	ctx    context.Context
 	change Change
 	done   chan outcome
-	// doubt is true while a write of the change that had no answer may still
-	// take effect. That write compares with doubtVersion of the head.
-	doubt        bool
-	doubtVersion int64
+	// inDoubt is set while an earlier write of the change, whose result is unknown,
+	// may still take effect. That write expects the head at inDoubtVersion.
+	inDoubt        bool
+	inDoubtVersion int64
 }
 
 type outcome struct {
@@ -52,10 +52,10 @@
 	return &Submitter{store: store, queue: make(chan *submission, maxBatch)}
 }
 
-// Submit offers a change and waits for its fate. Without an error it is accepted.
-// The kinds Invalid, Conflict, NotFound and Unavailable mean that it is not, and
-// will not be unless submitted again; Unknown that it may be, and that the same
-// id should be submitted again to learn which.
+// Submit submits a change and waits for its outcome. A nil error means that it is
+// accepted. The kinds Invalid, Conflict, NotFound and Unavailable mean that it is
+// not accepted and will not be unless submitted again. Unknown means that it may
+// be accepted; submitting the same ID again returns the outcome.
 func (s *Submitter) Submit(ctx context.Context, change Change) (Result, error) {
 	sub := &submission{ctx: ctx, change: change, done: make(chan outcome, 1)}
 	select {
@@ -63,26 +63,26 @@
 	case <-ctx.Done():
 		return Result{}, notAccepted(ctx.Err(), change.ID)
 	}
-	// The fate is waited for even if ctx ends: Run looks at ctx itself, and only
-	// it knows whether the change may have been written.
+	// Wait even if ctx is done: Run checks ctx itself, and only it knows whether
+	// the change may have been written.
 	o := <-sub.done
 	return o.result, o.err
 }
 
-// Run writes submitted changes until ctx ends, then refuses those that wait.
+// Run writes submitted changes until ctx is done, then rejects those still queued.
 func (s *Submitter) Run(ctx context.Context) {
 	for {
 		select {
 		case sub := <-s.queue:
-			s.settle(ctx, s.batch(sub))
+			s.process(ctx, s.batch(sub))
 		case <-ctx.Done():
-			s.refuseAll(ctx.Err())
+			s.rejectQueued(ctx.Err())
 			return
 		}
 	}
 }
 
-func (s *Submitter) refuseAll(cause error) {
+func (s *Submitter) rejectQueued(cause error) {
 	for {
 		select {
 		case sub := <-s.queue:
@@ -93,7 +93,7 @@
 	}
 }
 
-// batch returns first and what waits behind it.
+// batch returns first and the submissions queued behind it.
 func (s *Submitter) batch(first *submission) []*submission {
 	batch := []*submission{first}
 	for len(batch) < maxBatch {
@@ -107,43 +107,45 @@
 	return batch
 }
 
-// settle tries until each of the batch has its fate.
-func (s *Submitter) settle(ctx context.Context, batch []*submission) {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = firstPause
-	pause.MaxInterval = maxPause
+// process retries until every submission of the batch has an outcome.
+func (s *Submitter) process(ctx context.Context, batch []*submission) {
+	delay := backoff.NewExponentialBackOff()
+	delay.InitialInterval = initialBackoff
+	delay.MaxInterval = maxBackoff
 	for len(batch) > 0 {
 		cause := s.attempt(ctx, &batch)
-		batch = dropEnded(ctx, batch, cause)
+		batch = dropExpired(ctx, batch, cause)
 		if len(batch) > 0 {
-			sleep(ctx, pause.NextBackOff())
+			sleep(ctx, delay.NextBackOff())
 		}
 	}
 }
 
-// dropEnded answers those whose time is up and returns the others.
-func dropEnded(ctx context.Context, batch []*submission, cause error) []*submission {
-	var left []*submission
+// dropExpired completes the submissions whose context is done and returns the
+// others.
+func dropExpired(ctx context.Context, batch []*submission, cause error) []*submission {
+	var remaining []*submission
 	for _, sub := range batch {
 		ended := sub.ctx.Err() != nil || ctx.Err() != nil
 		switch {
 		case !ended:
-			left = append(left, sub)
-		case sub.doubt:
-			sub.done <- outcome{err: unknownFate(cause, sub.change.ID)}
+			remaining = append(remaining, sub)
+		case sub.inDoubt:
+			sub.done <- outcome{err: outcomeUnknown(cause, sub.change.ID)}
 		default:
 			sub.done <- outcome{err: notAccepted(cause, sub.change.ID)}
 		}
 	}
-	return left
+	return remaining
 }
 
 func notAccepted(cause error, id string) error {
-	return problem.Wrap(cause, problem.Unavailable, "apply again when the platform's key-value service answers; nothing was changed", "change %s is not accepted", id)
+	return problem.Wrap(cause, problem.Unavailable, "apply again when the platform's key-value service is available; nothing was changed", "change %s was not accepted", id)
 }
 
-// attempt reads the head, answers what can be answered, and tries to write the
-// rest. It returns why something is left, and leaves that in batch.
+// attempt reads the head, completes the submissions whose outcome is known, and
+// tries to write the others. Submissions without an outcome remain in batch; the
+// error says why.
 func (s *Submitter) attempt(ctx context.Context, batch *[]*submission) error {
 	ctx, cancel := batchContext(ctx, *batch)
 	defer cancel()
@@ -157,15 +159,15 @@
 	var writing []*submission
 	for _, sub := range *batch {
 		if done, ok := next.FindChange(sub.change.ID); ok {
-			sub.done <- answerFound(sub, done, before)
+			sub.done <- existingOutcome(sub, done, before)
 			continue
 		}
-		sub.resolveDoubt(read.version)
+		sub.resolveInDoubt(read.version)
 		candidate := sub.change
 		candidate.Revision = next.revision + 1
 		checked, err := next.Check(candidate)
 		if err != nil {
-			sub.done <- outcome{err: sub.refusal(err)}
+			sub.done <- outcome{err: sub.rejection(err)}
 			continue
 		}
 		next = checked
@@ -178,7 +180,7 @@
 	}
 	err = s.store.write(ctx, read, before, next, changes)
 	if err != nil {
-		markDoubt(writing, read.version, err)
+		markInDoubt(writing, read.version, err)
 		return err
 	}
 	for i, sub := range writing {
@@ -188,47 +190,48 @@
 	return nil
 }
 
-// answerFound answers a submission whose id is among the accepted changes. It is a
-// repeat unless an earlier write of this very submission put it there.
-func answerFound(sub *submission, done Accepted, before *Configuration) outcome {
+// existingOutcome returns the outcome of a submission whose ID is already accepted.
+// It is a repeat unless an earlier write of the same submission was accepted.
+func existingOutcome(sub *submission, done Accepted, before *Configuration) outcome {
 	if done.Revision > before.revision {
 		return outcome{result: Result{Revision: done.Revision, Repeated: true}}
 	}
-	return outcome{result: Result{Revision: done.Revision, Repeated: !sub.doubt}}
+	return outcome{result: Result{Revision: done.Revision, Repeated: !sub.inDoubt}}
 }
 
-func markDoubt(subs []*submission, version int64, err error) {
+func markInDoubt(subs []*submission, version int64, err error) {
 	if problem.KindOf(err) != problem.Unknown {
 		return
 	}
 	for _, sub := range subs {
-		sub.doubt = true
-		sub.doubtVersion = version
+		sub.inDoubt = true
+		sub.inDoubtVersion = version
 	}
 }
 
-// resolveDoubt ends the doubt if the head, which lacks the change, has moved past
-// the version that the doubtful write compares with: that write fails now.
-func (s *submission) resolveDoubt(version int64) {
-	if version > s.doubtVersion {
-		s.doubt = false
+// resolveInDoubt clears the in-doubt state if the head, which lacks the change, is
+// past the version that the earlier write expects: that write can only fail.
+func (s *submission) resolveInDoubt(version int64) {
+	if version > s.inDoubtVersion {
+		s.inDoubt = false
 	}
 }
 
-// refusal returns err, or Unknown in its place while a doubtful write may still
+// rejection returns err, or a problem of kind Unknown if an earlier write may still
 // take effect.
-func (s *submission) refusal(err error) error {
-	if !s.doubt {
+func (s *submission) rejection(err error) error {
+	if !s.inDoubt {
 		return err
 	}
-	return unknownFate(err, s.change.ID)
+	return outcomeUnknown(err, s.change.ID)
 }
 
-func unknownFate(cause error, id string) error {
-	return problem.Wrap(cause, problem.Unknown, "apply again with the same change id to learn its fate", "change %s may or may not be accepted", id)
+func outcomeUnknown(cause error, id string) error {
+	return problem.Wrap(cause, problem.Unknown, "apply again with the same change id to learn its outcome", "outcome of change %s is unknown", id)
 }
 
-// batchContext ends with ctx, or when the last submission's context ends.
+// batchContext returns a context that is done with ctx or at the latest deadline of
+// the batch.
 func batchContext(ctx context.Context, batch []*submission) (context.Context, context.CancelFunc) {
 	var latest time.Time
 	for _, sub := range batch {
--- a/pkg/config/suite_test.go
+++ b/pkg/config/suite_test.go
@@ -19,38 +19,39 @@
 	RunSpecs(t, "config")
 }
 
-// operator is one instance's way to the configuration: its replica and submitter,
-// over the real adapter to the stand-in service.
-type operator struct {
+// client is an instance's access to the configuration: a replica, a store and a
+// submitter over the etcd adapter and a key-value stand-in.
+type client struct {
 	replica   *config.Replica
 	store     *config.Store
 	submitter *config.Submitter
-	// patience is how long a change is waited for.
-	patience time.Duration
+	// submitTimeout limits the time of a submission.
+	submitTimeout time.Duration
 }
 
-func newOperator(address string) *operator { return newPatientOperator(address, 500*time.Millisecond) }
+func newClient(address string) *client { return newClientWithTimeout(address, 500*time.Millisecond) }
 
-// leastPatience is how long a change is waited for at least.
-const leastPatience = 3 * time.Second
+// minSubmitTimeout is the minimum timeout of a submission.
+const minSubmitTimeout = 3 * time.Second
 
-// newPatientOperator is one that waits for each answer of the service, and for each change, for a time.
-func newPatientOperator(address string, patience time.Duration) *operator {
-	client := etcdkv.New(address, patience)
-	o := &operator{replica: config.NewReplica(), patience: max(leastPatience, patience)}
-	o.store = config.NewStore(client, o.replica)
+// newClientWithTimeout sets the timeout of each call to the service and, if it is longer than
+// minSubmitTimeout, of each submission.
+func newClientWithTimeout(address string, timeout time.Duration) *client {
+	kv := etcdkv.New(address, timeout)
+	o := &client{replica: config.NewReplica(), submitTimeout: max(minSubmitTimeout, timeout)}
+	o.store = config.NewStore(kv, o.replica)
 	o.submitter = config.NewSubmitter(o.store)
 	ctx, cancel := context.WithCancel(context.Background())
 	go o.submitter.Run(ctx)
 	DeferCleanup(func() {
 		cancel()
-		client.Close()
+		kv.Close()
 	})
 	return o
 }
 
-func (o *operator) submit(id string, operations ...config.Operation) (config.Result, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), o.patience)
+func (o *client) submit(id string, operations ...config.Operation) (config.Result, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), o.submitTimeout)
 	defer cancel()
 	return o.submitter.Submit(ctx, config.NewChange(id, "tester", time.UnixMilli(1), operations...))
 }
@@ -66,7 +67,7 @@
 	return config.Operation{Put: &config.Object{Organisation: &config.Organisation{Name: name, Weight: weight}}}
 }
 
-func based(op config.Operation, revision uint64) config.Operation {
+func withBase(op config.Operation, revision uint64) config.Operation {
 	op.Base = &revision
 	return op
 }
