--- a/pkg/traffic/bench_test.go
+++ b/pkg/traffic/bench_test.go
@@ -12,12 +12,11 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/request"
 )
 
-// noWork makes the stand-ins answer at once.
+// noWork makes the stand-ins respond immediately.
 var noWork = json.RawMessage(`{"work_ms":{"encode":0,"retrieve":0,"rerank":0,"generate":0},"tokens":1}`)
 
-// BenchmarkRequest measures a request of four stages through the executor, and the same
-// four calls made directly, one after the other; the difference, by four, is what a
-// stage costs beside the call. All in one run, over loopback.
+// BenchmarkRequest compares a request of four stages through the executor with the same
+// four calls made directly, which gives the overhead per stage.
 func BenchmarkRequest(b *testing.B) {
 	bench, stop := startBench()
 	defer stop()
@@ -39,12 +38,12 @@
 		client := openinference.New(1 << 20)
 		defer client.Close()
 		for b.Loop() {
-			direct(b, bench, client)
+			callDirectly(b, bench, client)
 		}
 	})
 }
 
-func direct(b *testing.B, bench *bench, client *openinference.Client) {
+func callDirectly(b *testing.B, bench *bench, client *openinference.Client) {
 	input := json.RawMessage(`{"input":` + string(noWork) + `}`)
 	for stage, service := range map[string]string{"encode": "encoder", "retrieve": "archive", "rerank": "reranker"} {
 		c := endpoint.Call{Attempt: endpoint.Attempt{Request: "r", Stage: stage, ID: "a"}, Input: input, Deadline: time.Now().Add(time.Second)}
--- a/pkg/traffic/effects.go
+++ b/pkg/traffic/effects.go
@@ -6,26 +6,26 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/request"
 )
 
-// effects keeps account of what the attempts of one request have done, so that its
-// outcome says no more than is known.
+// effects tracks the execution state of a request's attempts, from which the outcome
+// of an unanswered request is derived.
 type effects struct {
 	mu sync.Mutex
-	// ran is set once any endpoint has run anything of the request, or may have.
+	// ran is set once an endpoint has, or may have, executed part of the request.
 	ran bool
-	// pending are the attempts that may still run.
+	// pending holds the IDs of the attempts that may still be running.
 	pending map[string]struct{}
 }
 
 func newEffects() *effects { return &effects{pending: map[string]struct{}{}} }
 
-// sent says that an attempt is about to be sent.
+// sent records that an attempt is about to be sent.
 func (e *effects) sent(attempt string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.pending[attempt] = struct{}{}
 }
 
-// ended says that an attempt has ended for certain, and whether anything of it ran.
+// ended records that an attempt is known to have ended, and whether any of it ran.
 func (e *effects) ended(attempt string, ran bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -33,7 +33,7 @@
 	e.ran = e.ran || ran
 }
 
-// outcome of a request that has no answer.
+// outcome returns the outcome of an unanswered request.
 func (e *effects) outcome() request.Outcome {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/traffic/executor.go
+++ b/pkg/traffic/executor.go
@@ -1,5 +1,5 @@
-// Package traffic runs callers' requests: it takes each through admission and its
-// stages, and says truthfully what became of it.
+// Package traffic executes callers' requests: it admits each request, runs its
+// stages and reports the outcome.
 package traffic
 
 import (
@@ -21,32 +21,32 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
 
-// Options of an Executor.
+// Options configure an Executor.
 type Options struct {
 	Instance string
-	// View gives the newest view.
+	// View returns the current view of the control state.
 	View func() *control.View
-	// Leaving is told of endpoints that say they are leaving.
+	// Leaving is called for each endpoint that reports that it is draining.
 	Leaving func(e control.LeavingEndpoint, from string)
 	Caller  endpoint.Caller
 	Clock   clockwork.Clock
 	Ring    *timeline.Ring
 	Log     *logrus.Entry
 	Metrics *Metrics
-	// Shares splits the organisations' rates over the instances.
+	// Shares splits the organisations' rate limits across the instances.
 	Shares *ratelimit.Splitter
-	// MaxInFlight bounds the requests in flight.
+	// MaxInFlight is the maximum number of requests in flight.
 	MaxInFlight int
-	// Baseline makes retries as simple as the baseline policies are: one retry,
-	// no hedging.
+	// Baseline limits retries to those of the baseline policies: one retry and no
+	// hedging.
 	Baseline bool
 }
 
-// Executor runs requests. Safe for concurrent use.
+// Executor executes requests. Safe for concurrent use.
 type Executor struct {
 	Options
 	usage *usage
-	// background counts the attempts and cancellations that may outlive their request.
+	// background tracks the attempts and cancellations that may outlive their request.
 	background sync.WaitGroup
 }
 
@@ -55,45 +55,45 @@
 	return &Executor{Options: o, usage: newUsage(o.MaxInFlight, o.Shares)}
 }
 
-// InFlight returns the number of requests that run.
+// InFlight returns the number of requests in flight.
 func (x *Executor) InFlight() int { return x.usage.inFlight() }
 
-// Close waits for what still goes on behind requests that have their results. It
-// must be called after the last Run has returned.
+// Close waits for attempts and cancellations that outlived their requests. It must
+// not be called before the last Run has returned.
 func (x *Executor) Close() { x.background.Wait() }
 
-// run is one request on its way.
+// run is the execution of one request.
 type run struct {
 	*Executor
-	request  request.Request
-	view     *control.View
-	pipeline *config.Pipeline
-	plan     *scheduling.Plan
-	work     scheduling.Work
-	place    *scheduling.Admission
-	effects  *effects
-	sink     func(endpoint.Token) error
-	started  time.Time
+	request   request.Request
+	view      *control.View
+	pipeline  *config.Pipeline
+	plan      *scheduling.Plan
+	work      scheduling.Work
+	admission *scheduling.Admission
+	effects   *effects
+	sink      func(endpoint.Token) error
+	started   time.Time
 
 	mu      sync.Mutex
 	reports []request.StageReport
 	outputs []json.RawMessage
 
-	// streaming guards sink, which must not be called once the result is out.
-	streaming sync.Mutex
-	closed    bool
+	// streamMu serialises calls of sink, which must not be called after Run returns.
+	streamMu     sync.Mutex
+	streamClosed bool
 }
 
-// closeStream ends the stream to the caller: a token that comes later is dropped.
+// closeStream ends the stream to the caller. Later tokens are dropped.
 func (r *run) closeStream() {
-	r.streaming.Lock()
-	defer r.streaming.Unlock()
-	r.closed = true
+	r.streamMu.Lock()
+	defer r.streamMu.Unlock()
+	r.streamClosed = true
 }
 
-// Run runs a request to its end and returns its final result. The tokens of the
-// last stage go to sink as they come, if there is one. Run returns when the result
-// is known, at the latest at the deadline, whatever still runs.
+// Run executes a request and returns its final result. If sink is not nil, it
+// receives the tokens of the last stage as they arrive. Run returns when the result
+// is known, at the latest at the deadline, even if attempts are still running.
 func (x *Executor) Run(ctx context.Context, r request.Request, sink func(endpoint.Token) error) request.Result {
 	result := x.admit(ctx, r, sink)
 	result.RequestID = r.ID
@@ -110,11 +110,12 @@
 	return string(result.Outcome) + ": " + result.Problem.Message
 }
 
-// admit checks the request against the configuration, the limits and the forecast.
+// admit checks the request against the configuration, the limits and the latency
+// estimate, and executes it if it is admitted.
 func (x *Executor) admit(ctx context.Context, r request.Request, sink func(endpoint.Token) error) request.Result {
 	view := x.View()
 	if !view.Confirmed {
-		return request.Refuse(r.ID, problem.New(problem.Unavailable, "ask another instance; nothing ran", "this instance has not yet found out which configuration is in force"))
+		return request.Refuse(r.ID, problem.New(problem.Unavailable, "use another instance; nothing ran", "this instance has not yet confirmed the current configuration"))
 	}
 	run, organisation, err := x.prepare(view, r)
 	if err != nil {
@@ -125,12 +126,12 @@
 		return request.Refuse(r.ID, err)
 	}
 	defer x.usage.exit(organisation)
-	place, refusal := run.plan.Admit(x.Clock.Now(), run.work, caution(run.pipeline.Objective))
+	admission, refusal := run.plan.Admit(x.Clock.Now(), run.work, safetyFactor(run.pipeline.Objective))
 	if refusal != nil {
-		return run.refused(refusal)
+		return run.refuse(refusal)
 	}
-	defer place.Close()
-	run.place = place
+	defer admission.Close()
+	run.admission = admission
 	x.Ring.Add(timeline.Event{Kind: timeline.RequestAccepted, Request: r.ID, Detail: "pipeline " + r.Pipeline + " organisation " + r.Organisation})
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
@@ -138,28 +139,28 @@
 	return run.execute(ctx)
 }
 
-func caution(o config.Objective) scheduling.SafetyFactor {
+func safetyFactor(o config.Objective) scheduling.SafetyFactor {
 	if o == config.Cost {
 		return scheduling.CostSafetyFactor
 	}
 	return scheduling.AttainmentSafetyFactor
 }
 
-// prepare looks up what the request names.
+// prepare resolves the objects that the request refers to.
 func (x *Executor) prepare(view *control.View, r request.Request) (*run, *config.Organisation, error) {
 	pipeline := view.Configuration.Pipeline(r.Pipeline)
 	if pipeline == nil {
-		return nil, nil, problem.New(problem.NotFound, "name a pipeline that is configured; nothing ran", "no pipeline %q", r.Pipeline)
+		return nil, nil, problem.New(problem.NotFound, "specify a configured pipeline; nothing ran", "pipeline %q does not exist", r.Pipeline)
 	}
 	organisation := view.Configuration.Organisation(r.Organisation)
 	if organisation == nil {
-		return nil, nil, problem.New(problem.NotFound, "name an organisation that is configured; nothing ran", "no organisation %q", r.Organisation)
+		return nil, nil, problem.New(problem.NotFound, "specify a configured organisation; nothing ran", "organisation %q does not exist", r.Organisation)
 	}
 	rank := uint32(0)
 	if r.Priority != "" {
 		priority := view.Configuration.Priority(r.Priority)
 		if priority == nil {
-			return nil, nil, problem.New(problem.NotFound, "name a priority that is configured, or none; nothing ran", "no priority %q", r.Priority)
+			return nil, nil, problem.New(problem.NotFound, "specify a configured priority, or none; nothing ran", "priority %q does not exist", r.Priority)
 		}
 		rank = priority.Rank
 	}
@@ -186,75 +187,75 @@
 	return reports
 }
 
-func (r *run) refused(refusal *scheduling.Refusal) request.Result {
+func (r *run) refuse(refusal *scheduling.Refusal) request.Result {
 	result := request.Refuse(r.request.ID, refusalProblem(refusal, "the request"))
 	result.RetryAfterMs = refusal.RetryAfter.Milliseconds()
 	return result
 }
 
-// refusalProblem explains a refusal of the decision package.
+// refusalProblem converts a scheduling refusal to a problem.
 func refusalProblem(refusal *scheduling.Refusal, what string) *problem.Problem {
 	switch refusal.Reason {
 	case scheduling.NoEndpoint:
-		return problem.New(problem.Unavailable, "check the endpoints of the service with 'cobaltcroft status'", "no endpoint is left that could run %s", what)
+		return problem.New(problem.Unavailable, "check the endpoints of the service with 'cobaltcroft status'", "no endpoint available for %s", what)
 	case scheduling.TooLate:
-		return problem.New(problem.Deadline, "ask again later, or allow more time", "%s would not end within its deadline", what)
+		return problem.New(problem.Deadline, "retry later, or allow more time", "%s cannot finish within its deadline", what)
 	case scheduling.OverShare:
-		return problem.New(problem.Overloaded, "ask again later, or ask less at a time", "%s waited over its organisation's share", what)
+		return problem.New(problem.Overloaded, "retry later, or send fewer requests at once", "%s exceeds its organisation's share of the queue", what)
 	}
-	return problem.New(problem.Overloaded, "ask again later", "too much waits before %s", what)
+	return problem.New(problem.Overloaded, "retry later", "queue is full for %s", what)
 }
 
-// stageEnd is how a stage ended.
-type stageEnd struct {
+// stageResult is the result of a stage.
+type stageResult struct {
 	index int
 	err   error
 }
 
-// execute runs the stages, each as soon as its inputs are there, and returns the
-// result as soon as it is known.
+// execute runs each stage as soon as its inputs are available and returns the
+// request's result.
 func (r *run) execute(ctx context.Context) request.Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ends := make(chan stageEnd, len(r.pipeline.Stages))
+	results := make(chan stageResult, len(r.pipeline.Stages))
 	started := make([]bool, len(r.pipeline.Stages))
 	done := make([]bool, len(r.pipeline.Stages))
-	left := len(r.pipeline.Stages)
-	r.startReady(ctx, started, done, ends)
-	for left > 0 {
+	remaining := len(r.pipeline.Stages)
+	r.startReady(ctx, started, done, results)
+	for remaining > 0 {
 		select {
-		case end := <-ends:
-			if end.err != nil {
-				return r.unanswered(end.err)
+		case result := <-results:
+			if result.err != nil {
+				return r.unanswered(result.err)
 			}
-			done[end.index] = true
-			left--
-			r.startReady(ctx, started, done, ends)
+			done[result.index] = true
+			remaining--
+			r.startReady(ctx, started, done, results)
 		case <-ctx.Done():
-			return r.unanswered(r.ended(ctx))
+			return r.unanswered(r.contextProblem(ctx))
 		}
 	}
 	return r.answered()
 }
 
-// ended explains why the request's context has ended.
-func (r *run) ended(ctx context.Context) error {
+// contextProblem returns the problem for a request whose context is done.
+func (r *run) contextProblem(ctx context.Context) error {
 	if ctx.Err() == context.DeadlineExceeded {
-		return problem.New(problem.Deadline, "allow more time, or ask again later", "the deadline passed")
+		return problem.New(problem.Deadline, "allow more time, or retry later", "deadline exceeded")
 	}
-	return problem.New(problem.Unavailable, "keep the connection open until the answer", "the caller went away")
+	return problem.New(problem.Unavailable, "keep the connection open until the response arrives", "client disconnected")
 }
 
-func (r *run) startReady(ctx context.Context, started, done []bool, ends chan<- stageEnd) {
+func (r *run) startReady(ctx context.Context, started, done []bool, results chan<- stageResult) {
 	for i := range started {
 		if started[i] || !r.ready(i, done) {
 			continue
 		}
 		started[i] = true
 		go func() {
-			err := r.stage(ctx, i)
-			r.place.StageDone(i)
-			ends <- stageEnd{index: i, err: err}
+			err := r.runStage(ctx, i)
+			r.admission.StageDone(i)
+			results <- stageResult{index: i, err: err}
 		}()
 	}
 }
@@ -288,17 +289,17 @@
 	}
 }
 
-// output is the result of the last stages: the value itself if there is one such
-// stage, else an object by stage name.
+// output returns the result of the final stage, or an object of results by stage
+// name if there are several final stages.
 func (r *run) output() json.RawMessage {
 	finals := r.finalStages()
 	if len(finals) == 1 {
 		return r.outputs[finals[0]]
 	}
-	return r.object(finals)
+	return r.resultsByName(finals)
 }
 
-// finalStages are those whose result no other stage reads.
+// finalStages returns the indices of the stages whose results no other stage reads.
 func (r *run) finalStages() []int {
 	read := make([]bool, len(r.pipeline.Stages))
 	for i := range r.pipeline.Stages {
@@ -315,7 +316,7 @@
 	return finals
 }
 
-func (r *run) object(stages []int) json.RawMessage {
+func (r *run) resultsByName(stages []int) json.RawMessage {
 	values := make(map[string]json.RawMessage, len(stages))
 	for _, i := range stages {
 		values[r.pipeline.Stages[i].Name] = r.outputs[i]
@@ -324,8 +325,8 @@
 	return data
 }
 
-// stageInput is what a stage is given: the request's input, and the results of the
-// stages before it by name.
+// stageInput is the input of a stage: the request's input, and the results of the
+// preceding stages by name.
 type stageInput struct {
 	Input  json.RawMessage `json:"input"`
 	Before json.RawMessage `json:"before,omitempty"`
@@ -336,7 +337,7 @@
 	defer r.mu.Unlock()
 	in := stageInput{Input: r.request.Input}
 	if inputs := r.pipeline.Inputs(i); len(inputs) > 0 {
-		in.Before = r.object(inputs)
+		in.Before = r.resultsByName(inputs)
 	}
 	data, _ := json.Marshal(in)
 	return data
--- a/pkg/traffic/generate.go
+++ b/pkg/traffic/generate.go
@@ -13,18 +13,17 @@
 )
 
 const (
-	// minStall is the shortest pause in a stream that counts as a stall.
-	minStall = 250 * time.Millisecond
-	// stallDeviations is how many mean deviations above the mean of whole calls a
-	// first token may take, and stallGaps how many times the mean gap of its own
-	// stream a later one.
+	// minStallTimeout is the minimum gap between tokens that counts as a stall.
+	minStallTimeout = 250 * time.Millisecond
+	// The first token may take the mean call latency plus stallDeviations mean
+	// deviations; later tokens may take stallGaps times the stream's mean token gap.
 	stallDeviations = 8
 	stallGaps       = 20
 )
 
-// generate makes one attempt at a generation stage. It goes on behind the tokens
-// that earlier attempts brought. An attempt that stalls is broken off, so that the
-// stream can be resumed at another endpoint.
+// generate makes one attempt at a generation stage, resuming after the tokens that
+// earlier attempts returned. A stalled attempt is cancelled so that the stream can be
+// resumed at another endpoint.
 func (s *stageRun) generate(ctx context.Context, grant *scheduling.Grant, call endpoint.Call) (endpoint.Answer, error) {
 	if len(s.tokens) > 0 {
 		s.Metrics.resumes.Inc()
@@ -32,7 +31,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stall := newStallTimer(s.firstTokenTime(), cancel)
+	stall := newStallTimer(s.firstTokenTimeout(), cancel)
 	defer stall.stop()
 	var first time.Time
 	received := 0
@@ -41,61 +40,61 @@
 			first = time.Now()
 		}
 		received++
-		stall.restart(s.nextTokenTime(time.Since(first), received))
+		stall.restart(s.nextTokenTimeout(time.Since(first), received))
 		s.tokens = append(s.tokens, token)
 		return s.emit(token)
 	})
 }
 
-// mayStall tells whether anything could be gained by breaking a stream off: a request
-// that may not be repeated, or has no attempt or no other endpoint left, can only wait.
-func (s *stageRun) mayStall() bool {
-	return !s.Baseline && s.request.Repeatable && len(s.tried) < s.attemptBound() && s.pool.HasUntried(s.tried)
+// canResume reports whether a stalled stream can be resumed elsewhere: the request
+// must be repeatable, and an attempt and an untried endpoint must be left.
+func (s *stageRun) canResume() bool {
+	return !s.Baseline && s.request.Repeatable && len(s.tried) < s.attemptLimit() && s.pool.HasUntried(s.tried)
 }
 
-// never is longer than any request lasts.
-const never = 24 * time.Hour
+// noStallTimeout exceeds the duration of any request.
+const noStallTimeout = 24 * time.Hour
 
-// firstTokenTime is how long the first token of an attempt may take. Prompts differ
-// in length, and so the time doubles with each attempt.
-func (s *stageRun) firstTokenTime() time.Duration {
-	if !s.mayStall() {
-		return never
+// firstTokenTimeout returns the timeout of the first token. It doubles with each
+// attempt, since long prompts take longer to process.
+func (s *stageRun) firstTokenTimeout() time.Duration {
+	if !s.canResume() {
+		return noStallTimeout
 	}
 	mean, deviation := s.pool.Latency(s.Clock.Now())
 	if mean == 0 {
-		return max(minStall, time.Until(s.request.Deadline)/3)
+		return max(minStallTimeout, time.Until(s.request.Deadline)/3)
 	}
-	return max(minStall, mean+stallDeviations*deviation) << (len(s.tried) - 1)
+	return max(minStallTimeout, mean+stallDeviations*deviation) << (len(s.tried) - 1)
 }
 
-// nextTokenTime is how long the token after the received ones may take, which came
-// over a time since the first.
-func (s *stageRun) nextTokenTime(since time.Duration, received int) time.Duration {
-	if !s.mayStall() {
-		return never
+// nextTokenTimeout returns the timeout of the next token, given the number of tokens
+// received and the time since the first.
+func (s *stageRun) nextTokenTimeout(since time.Duration, received int) time.Duration {
+	if !s.canResume() {
+		return noStallTimeout
 	}
 	gap := since / time.Duration(max(received-1, 1))
-	return max(minStall, stallGaps*gap)
+	return max(minStallTimeout, stallGaps*gap)
 }
 
-// emit gives a token to the caller, if it wants tokens and this stage is the last.
+// emit passes a token to the caller's sink, if there is one and this is the last stage.
 func (s *stageRun) emit(token endpoint.Token) error {
 	if s.sink == nil || s.index != len(s.pipeline.Stages)-1 {
 		return nil
 	}
-	s.streaming.Lock()
-	defer s.streaming.Unlock()
-	if s.closed {
+	s.streamMu.Lock()
+	defer s.streamMu.Unlock()
+	if s.streamClosed {
 		return errStreamClosed
 	}
 	return s.sink(token)
 }
 
-// errStreamClosed stops a stream whose request has its result already.
-var errStreamClosed = errors.New("the request has its result")
+// errStreamClosed stops the stream of a request that is already completed.
+var errStreamClosed = errors.New("request already completed")
 
-// stallTimer calls a function when it has not been restarted for a time.
+// stallTimer calls a function unless it is restarted or stopped in time.
 type stallTimer struct {
 	mu      sync.Mutex
 	timer   *time.Timer
--- a/pkg/traffic/metrics.go
+++ b/pkg/traffic/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/request"
 )
 
-// Metrics of the traffic, in the set of one process.
+// Metrics are the request execution metrics of one process.
 type Metrics struct {
 	set            *metrics.Set
 	attempts       *metrics.Counter
--- a/pkg/traffic/outcome_test.go
+++ b/pkg/traffic/outcome_test.go
@@ -16,16 +16,15 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
 
-// allowedTime is the time allowed to a request whose deadline passes in a stage: the stages before
-// take milliseconds, or some tens of them on a busy machine.
-const allowedTime = time.Second
+// requestTimeout is long enough for the stages before the one in which the deadline passes.
+const requestTimeout = time.Second
 
 var _ = Describe("a request", func() {
 	var b *bench
 
 	BeforeEach(func() { b = newBench() })
 
-	It("goes through all stages, each fed with the result before", func() {
+	It("runs all stages, each with the results of the previous one", func() {
 		r := call("bulletin", time.Second)
 		result := b.run(r)
 		Expect(result.Outcome).To(Equal(request.Answered), "%+v", result.Problem)
@@ -34,16 +33,16 @@
 		Expect(result.Stages).To(HaveEach(SatisfyAll(HaveField("Done", true), HaveField("Attempts", 1))))
 	})
 
-	It("runs stages side by side where the graph allows, and joins them", func() {
+	It("runs independent stages in parallel and joins them", func() {
 		b.fault("archive", standin.EndpointFaults{Slow: 30})
-		began := time.Now()
+		start := time.Now()
 		result := b.run(call("diamond", time.Second))
 		Expect(result.Outcome).To(Equal(request.Answered), "%+v", result.Problem)
-		Expect(time.Since(began)).To(BeNumerically("<", 115*time.Millisecond))
+		Expect(time.Since(start)).To(BeNumerically("<", 115*time.Millisecond))
 		Expect(b.runs("left") + b.runs("right") + b.runs("join")).To(Equal(3))
 	})
 
-	It("among many at once gets its own whole answer", func() {
+	It("gets its own complete answer among concurrent requests", func() {
 		var wg sync.WaitGroup
 		for i := range 60 {
 			wg.Go(func() {
@@ -59,7 +58,7 @@
 		wg.Wait()
 	})
 
-	DescribeTable("gets its own answer though the first one is wrong",
+	DescribeTable("gets its own answer though the first answer is wrong",
 		func(service string, f standin.EndpointFaults, dropped int) {
 			b.faultNext(service, f)
 			r := call("bulletin", time.Second)
@@ -87,8 +86,8 @@
 		Entry("the stream leaves out tokens", "engine", standin.EndpointFaults{SkipTokens: 2}, 0),
 	)
 
-	It("whose answer crosses with another's is answered with its own, by another endpoint", func() {
-		b.onlyFirst("archive")
+	It("gets its own answer from another endpoint if two answers are swapped", func() {
+		b.useFirst("archive")
 		b.fault("archive", standin.EndpointFaults{Cross: true, Slow: 50, Calls: 2})
 		var wg sync.WaitGroup
 		results := make([]request.Result, 2)
@@ -100,7 +99,7 @@
 		}
 		Eventually(b.endpoint("archive", "1").Calls).Should(Equal(2))
 		b.endpoint("archive", "2").SetFaults(standin.EndpointFaults{})
-		b.both("archive")
+		b.useBoth("archive")
 		wg.Wait()
 		Expect(b.events(timeline.AnswerDropped)).To(Equal(2))
 		for i, result := range results {
@@ -109,22 +108,22 @@
 		}
 	})
 
-	It("is answered by the second attempt when the first answers late, once", func() {
+	It("is answered by a hedged attempt if the first is slow", func() {
 		for range 20 {
 			b.run(call("bulletin", time.Second))
 		}
 		b.endpoint("archive", "1").SetFaults(standin.EndpointFaults{LateMs: 400})
 		for range 4 {
 			r := call("bulletin", time.Second)
-			began := time.Now()
+			start := time.Now()
 			result := b.run(r)
 			Expect(result.Outcome).To(Equal(request.Answered), "%+v", result.Problem)
 			Expect(string(result.Output)).To(Equal(expected(r)))
-			Expect(time.Since(began)).To(BeNumerically("<", 300*time.Millisecond))
+			Expect(time.Since(start)).To(BeNumerically("<", 300*time.Millisecond))
 		}
 	})
 
-	It("is not run, and nothing of it ran, when no endpoint of its first stage can be reached", func() {
+	It("is not run if no endpoint of its first stage is reachable", func() {
 		b.endpoint("encoder", "1").Kill()
 		b.endpoint("encoder", "2").Kill()
 		result := b.run(call("bulletin", time.Second))
@@ -132,7 +131,7 @@
 		Expect(b.site.Runs()).To(BeEmpty())
 	})
 
-	It("failed, and nothing of it runs any more, when a later stage can't be reached", func() {
+	It("fails if no endpoint of a later stage is reachable", func() {
 		b.endpoint("engine", "1").Kill()
 		b.endpoint("engine", "2").Kill()
 		result := b.run(call("bulletin", time.Second))
@@ -141,13 +140,13 @@
 		Expect(result.Stages[3].Done).To(BeFalse())
 	})
 
-	// runPastDeadline runs a request whose endpoints of a service freeze, and checks when its result
-	// is out and how many stages have finished.
-	runPastDeadline := func(ctx context.Context, service string, ranBefore int) request.Result {
+	// runPastDeadline runs a request while the endpoints of a service hang, and checks the time of
+	// its result and the number of finished stages.
+	runPastDeadline := func(ctx context.Context, service string, stagesDone int) request.Result {
 		b.fault(service, standin.EndpointFaults{Freeze: true, FreezeAfterTokens: 1})
-		began := time.Now()
-		result := b.executor.Run(ctx, call("bulletin", allowedTime), nil)
-		Expect(time.Since(began)).To(BeNumerically("~", allowedTime, 60*time.Millisecond))
+		start := time.Now()
+		result := b.executor.Run(ctx, call("bulletin", requestTimeout), nil)
+		Expect(time.Since(start)).To(BeNumerically("~", requestTimeout, 60*time.Millisecond))
 		Expect(result.Problem.Kind).To(Or(Equal(problem.Deadline), Equal(problem.Unavailable)))
 		done := 0
 		for _, s := range result.Stages {
@@ -155,14 +154,14 @@
 				done++
 			}
 		}
-		Expect(done).To(Equal(ranBefore))
+		Expect(done).To(Equal(stagesDone))
 		return result
 	}
 
-	DescribeTable("whose deadline passes in a stage has its answer then, and it is true: unknown while a cancellation is not confirmed",
-		func(service string, ranBefore int) {
-			b.cancels.hold.Store(true)
-			result := runPastDeadline(context.Background(), service, ranBefore)
+	DescribeTable("whose deadline passes in a stage returns at the deadline: unknown while a cancellation is not confirmed",
+		func(service string, stagesDone int) {
+			b.caller.blockCancels.Store(true)
+			result := runPastDeadline(context.Background(), service, stagesDone)
 			Expect(result.Outcome).To(Equal(request.Unknown))
 		},
 		Entry("encoding", "encoder", 0),
@@ -171,11 +170,11 @@
 		Entry("generation", "engine", 3),
 	)
 
-	DescribeTable("whose deadline passes in a stage has its answer then, and it is true: failed once the cancellations are confirmed",
-		func(service string, ranBefore int) {
-			b.cancels.keepDeadlines.Store(true)
+	DescribeTable("whose deadline passes in a stage returns at the deadline: failed once the cancellations are confirmed",
+		func(service string, stagesDone int) {
+			b.caller.enforceDeadlines.Store(true)
 			b.clock.beforeStageEnd.Store(func() { b.executor.Close() })
-			result := runPastDeadline(keptDeadline{Context: context.Background(), deadline: time.Now().Add(allowedTime)}, service, ranBefore)
+			result := runPastDeadline(unenforcedDeadline{Context: context.Background(), deadline: time.Now().Add(requestTimeout)}, service, stagesDone)
 			Expect(result.Outcome).To(Equal(request.Failed))
 		},
 		Entry("encoding", "encoder", 0),
@@ -184,7 +183,7 @@
 		Entry("generation", "engine", 3),
 	)
 
-	It("stops at the endpoint when its caller goes away", func() {
+	It("is cancelled at the endpoint when the client disconnects", func() {
 		b.fault("engine", standin.EndpointFaults{FreezeAfterTokens: 1})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan request.Result)
@@ -195,7 +194,7 @@
 		Eventually(func() int { return b.runs("generate") }).Should(BeNumerically(">", 0), "the engine's slot is free again")
 	})
 
-	It("streams each token once and in order over a broken stream", func() {
+	It("streams each token once and in order across a resumed stream", func() {
 		b.faultNext("engine", standin.EndpointFaults{DieAfterTokens: 3})
 		r := call("bulletin", time.Second)
 		var tokens []endpoint.Token
@@ -214,7 +213,7 @@
 		Expect(b.events(timeline.StreamResumed)).To(Equal(1))
 	})
 
-	It("tells of an endpoint that says it is leaving, which gets nothing more", func() {
+	It("reports a draining endpoint, which gets no more calls", func() {
 		b.endpoint("encoder", "1").SetFaults(standin.EndpointFaults{Draining: true})
 		for range 20 {
 			Expect(b.run(call("bulletin", time.Second)).Outcome).To(Equal(request.Answered))
@@ -240,7 +239,7 @@
 		Expect(answered).To(BeNumerically(">=", requests*97/100))
 	})
 
-	It("is refused over its organisation's limits, and nothing runs", func() {
+	It("is rejected over its organisation's limits", func() {
 		b.fault("encoder", standin.EndpointFaults{Slow: 50})
 		r := call("bulletin", time.Second)
 		r.Organisation = "narrow"
@@ -268,10 +267,10 @@
 		return r
 	}
 
-	DescribeTable("is not tried again once a byte may have reached an endpoint",
+	DescribeTable("is not retried once a byte may have reached an endpoint",
 		func(f standin.EndpointFaults, outcome request.Outcome) {
-			// What a cancellation would find out does not come before the outcome.
-			b.cancels.hold.Store(true)
+			// Cancellations do not complete before the outcome is determined.
+			b.caller.blockCancels.Store(true)
 			b.fault("alert", f)
 			result := b.run(alert())
 			Expect(result.Outcome).To(Equal(outcome), "%+v", result.Problem)
@@ -287,7 +286,7 @@
 		Entry("the endpoint says that it failed", standin.EndpointFaults{Error: true}, request.Failed),
 	)
 
-	It("may go to another endpoint when the first refused the connection or the call", func() {
+	It("is retried if the endpoint refused the connection or the call", func() {
 		b.endpoint("alert", "1").Kill()
 		for i := range 4 {
 			r := alert()
--- a/pkg/traffic/stage.go
+++ b/pkg/traffic/stage.go
@@ -16,93 +16,93 @@
 )
 
 const (
-	// maxAttempts bounds the attempts of one stage.
+	// maxAttempts is the maximum number of attempts per stage.
 	maxAttempts = 4
-	// baselineAttempts bounds them for the baseline policies.
-	baselineAttempts = 2
-	// hedgeDeviations is how many mean deviations above the mean a call must take
-	// before a second one is sent beside it.
+	// baselineMaxAttempts is maxAttempts for the baseline policies.
+	baselineMaxAttempts = 2
+	// hedgeDeviations is the number of mean deviations above the mean latency after
+	// which a call is hedged.
 	hedgeDeviations = 4
-	// minHedgeDelay keeps noise on short calls from causing second ones.
+	// minHedgeDelay prevents hedging due to jitter on short calls.
 	minHedgeDelay = 10 * time.Millisecond
-	// cancelTimeout bounds the call that cancels an attempt.
+	// cancelTimeout is the timeout of a call that cancels an attempt.
 	cancelTimeout = 500 * time.Millisecond
 )
 
-// stageRun is one stage of a run.
+// stageRun is the execution of one stage.
 type stageRun struct {
 	*run
 	index int
 	stage *config.Stage
 	pool  *scheduling.Pool
-	// tried endpoints are not tried again.
+	// tried holds the names of endpoints already used, which are not tried again.
 	tried []string
-	// tokens received so far, over all attempts of a generation stage.
-	tokens []endpoint.Token
-	first  time.Time
+	// tokens holds the tokens received over all attempts of a generation stage.
+	tokens  []endpoint.Token
+	started time.Time
 }
 
-// attemptEnd is how an attempt ended: with an answer or with why there is none.
-type attemptEnd struct {
+// attemptResult is the result of an attempt: an answer or an error.
+type attemptResult struct {
 	answer endpoint.Answer
 	grant  *scheduling.Grant
 	err    error
 }
 
-// stage runs the stage at index i to its end and keeps its output.
-func (r *run) stage(ctx context.Context, i int) error {
+// runStage runs the stage at index i and stores its output.
+func (r *run) runStage(ctx context.Context, i int) error {
 	stage := &r.pipeline.Stages[i]
-	s := &stageRun{run: r, index: i, stage: stage, pool: r.view.Pools[stage.Service], first: r.Clock.Now()}
-	end := s.try(ctx)
+	s := &stageRun{run: r, index: i, stage: stage, pool: r.view.Pools[stage.Service], started: r.Clock.Now()}
+	result := s.runAttempts(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	report := &r.reports[i]
 	report.Attempts = len(s.tried)
-	report.Ms = float64(r.Clock.Since(s.first).Microseconds()) / 1000
-	if end.err != nil {
-		return end.err
+	report.Ms = float64(r.Clock.Since(s.started).Microseconds()) / 1000
+	if result.err != nil {
+		return result.err
 	}
-	report.Endpoint = end.grant.Endpoint.Name
+	report.Endpoint = result.grant.Endpoint.Name
 	report.Done = true
-	r.outputs[i] = end.answer.Output
+	r.outputs[i] = result.answer.Output
 	r.Ring.Add(timeline.Event{Kind: timeline.StageFinished, Request: r.request.ID, Stage: stage.Name, Endpoint: report.Endpoint})
 	return nil
 }
 
-// try makes attempts until one succeeds or no more may be made. A second attempt
-// runs beside a slow first one where that is allowed.
-func (s *stageRun) try(ctx context.Context) attemptEnd {
+// runAttempts makes attempts until one succeeds or no more are allowed. A slow first
+// attempt is hedged if possible.
+func (s *stageRun) runAttempts(ctx context.Context) attemptResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ends := make(chan attemptEnd, maxAttempts)
+	results := make(chan attemptResult, maxAttempts)
 	running := 0
 	launch := func(grant *scheduling.Grant) {
 		running++
-		s.background.Go(func() { ends <- s.call(ctx, grant) })
+		s.background.Go(func() { results <- s.call(ctx, grant) })
 	}
 	grant, err := s.acquire(ctx, nil)
 	if err != nil {
-		return attemptEnd{err: err}
+		return attemptResult{err: err}
 	}
 	launch(grant)
 	hedge := time.NewTimer(s.hedgeDelay())
 	defer hedge.Stop()
 	for {
 		select {
-		case end := <-ends:
+		case result := <-results:
 			running--
-			if end.err == nil {
-				return end
+			if result.err == nil {
+				return result
 			}
 			if running > 0 {
 				continue
 			}
-			if !s.mayRetry(end.err) {
-				return attemptEnd{err: callProblem(end.err, s.stage.Name)}
+			if !s.mayRetry(result.err) {
+				return attemptResult{err: callProblem(result.err, s.stage.Name)}
 			}
-			next, err := s.acquire(ctx, end.err)
+			next, err := s.acquire(ctx, result.err)
 			if err != nil {
-				return attemptEnd{err: err}
+				return attemptResult{err: err}
 			}
 			launch(next)
 		case <-hedge.C:
@@ -110,40 +110,40 @@
 				launch(next)
 			}
 		case <-ctx.Done():
-			return attemptEnd{err: s.ended(ctx)}
+			return attemptResult{err: s.contextProblem(ctx)}
 		}
 	}
 }
 
-// acquire waits for an endpoint. If there is none to be had, cause, the failure of
-// the attempt before, is the better explanation.
+// acquire waits for an endpoint. If none is available, it returns cause, the error of
+// the previous attempt, if there is one.
 func (s *stageRun) acquire(ctx context.Context, cause error) (*scheduling.Grant, error) {
-	verdict := s.pool.Acquire(s.Clock.Now(), s.stageWork())
-	if verdict.Waiter != nil {
-		verdict = s.wait(ctx, verdict.Waiter)
+	result := s.pool.Acquire(s.Clock.Now(), s.stageWork())
+	if result.Waiter != nil {
+		result = s.wait(ctx, result.Waiter)
 	}
 	switch {
-	case verdict.Grant != nil:
-		s.tried = append(s.tried, verdict.Grant.Endpoint.Name)
-		return verdict.Grant, nil
-	case verdict.Refusal != nil && cause != nil:
+	case result.Grant != nil:
+		s.tried = append(s.tried, result.Grant.Endpoint.Name)
+		return result.Grant, nil
+	case result.Refusal != nil && cause != nil:
 		return nil, callProblem(cause, s.stage.Name)
-	case verdict.Refusal != nil:
-		return nil, refusalProblem(verdict.Refusal, "stage "+s.stage.Name)
+	case result.Refusal != nil:
+		return nil, refusalProblem(result.Refusal, "stage "+s.stage.Name)
 	}
-	return nil, s.ended(ctx)
+	return nil, s.contextProblem(ctx)
 }
 
-// wait returns the verdict on waiting work; an empty one if ctx ends first.
+// wait waits for the result of queued work. The result is empty if ctx is done first.
 func (s *stageRun) wait(ctx context.Context, w *scheduling.Waiter) scheduling.AcquireResult {
 	select {
-	case verdict := <-w.Done:
-		return verdict
+	case result := <-w.Done:
+		return result
 	case <-ctx.Done():
 	}
-	verdict, came := s.pool.Withdraw(w)
-	if came && verdict.Grant != nil {
-		s.pool.Finish(s.Clock.Now(), verdict.Grant, scheduling.Abandoned, nil)
+	result, decided := s.pool.Withdraw(w)
+	if decided && result.Grant != nil {
+		s.pool.Finish(s.Clock.Now(), result.Grant, scheduling.Abandoned, nil)
 	}
 	return scheduling.AcquireResult{}
 }
@@ -156,7 +156,8 @@
 	return work
 }
 
-// modelKey names what a stage's endpoint must hold; empty if it names nothing.
+// modelKey identifies the model that the stage's endpoint must have loaded; empty if
+// the stage has none.
 func modelKey(s *config.Stage) string {
 	if s.Model == "" {
 		return ""
@@ -164,18 +165,18 @@
 	return s.Model + "/" + s.Adapter + "/" + s.Version
 }
 
-// call makes one attempt at a granted endpoint.
-func (s *stageRun) call(ctx context.Context, grant *scheduling.Grant) attemptEnd {
+// call makes one attempt at the granted endpoint.
+func (s *stageRun) call(ctx context.Context, grant *scheduling.Grant) attemptResult {
 	attempt := endpoint.Attempt{Request: s.request.ID, Stage: s.stage.Name, ID: uuid.NewString()}
 	s.Metrics.attempts.Inc()
 	s.Ring.Add(timeline.Event{Kind: timeline.StageStarted, Request: attempt.Request, Stage: attempt.Stage, Attempt: attempt.ID, Endpoint: grant.Endpoint.Name, Detail: localText(grant.Local)})
 	s.effects.sent(attempt.ID)
 	answer, err := s.send(ctx, grant, attempt)
-	s.settle(ctx, grant, attempt, answer, err)
+	s.recordAttempt(ctx, grant, attempt, answer, err)
 	if err != nil {
-		return attemptEnd{grant: grant, err: err}
+		return attemptResult{grant: grant, err: err}
 	}
-	return attemptEnd{grant: grant, answer: answer}
+	return attemptResult{grant: grant, answer: answer}
 }
 
 func localText(local bool) string {
@@ -203,8 +204,8 @@
 	return s.generate(ctx, grant, call)
 }
 
-// settle tells the pool, the effects and the time line what an attempt did.
-func (s *stageRun) settle(ctx context.Context, grant *scheduling.Grant, attempt endpoint.Attempt, answer endpoint.Answer, err error) {
+// recordAttempt reports an attempt's result to the pool, the effects and the timeline.
+func (s *stageRun) recordAttempt(ctx context.Context, grant *scheduling.Grant, attempt endpoint.Attempt, answer endpoint.Answer, err error) {
 	now := s.Clock.Now()
 	if err == nil {
 		s.effects.ended(attempt.ID, true)
@@ -216,7 +217,7 @@
 	if !errors.As(err, &e) {
 		e = &endpoint.Error{Effect: endpoint.Doubtful, Cause: err}
 	}
-	s.settleEffect(grant, attempt, e)
+	s.recordEffect(grant, attempt, e)
 	if s.pool.Finish(now, grant, resultOf(ctx, e), reportOf(e.Load)) {
 		s.Ring.Add(timeline.Event{Kind: timeline.EndpointEjected, Request: attempt.Request, Endpoint: grant.Endpoint.Name, Detail: e.Error()})
 		s.Log.WithFields(map[string]any{"event": timeline.EndpointEjected, "endpoint": grant.Endpoint.Name}).Warn(e.Error())
@@ -241,9 +242,9 @@
 	s.Leaving(control.LeavingEndpoint{Name: grant.Endpoint.Name, Incarnation: grant.Endpoint.Incarnation}, "the endpoint")
 }
 
-// settleEffect ends the account of an attempt, at once if its end is certain, else
-// once the endpoint has confirmed that it was cancelled.
-func (s *stageRun) settleEffect(grant *scheduling.Grant, attempt endpoint.Attempt, e *endpoint.Error) {
+// recordEffect marks a failed attempt as ended, immediately if it is known to have
+// ended, otherwise once the endpoint has confirmed its cancellation.
+func (s *stageRun) recordEffect(grant *scheduling.Grant, attempt endpoint.Attempt, e *endpoint.Error) {
 	switch e.Effect {
 	case endpoint.NotSent, endpoint.Refused:
 		s.effects.ended(attempt.ID, false)
@@ -261,7 +262,7 @@
 	})
 }
 
-// resultOf is what a failed call tells about the endpoint.
+// resultOf classifies a failed call for the endpoint's health tracking.
 func resultOf(ctx context.Context, e *endpoint.Error) scheduling.Result {
 	switch {
 	case e.Effect == endpoint.NotSent && ctx.Err() == nil:
@@ -273,7 +274,7 @@
 	case e.Effect == endpoint.Refused:
 		return scheduling.Busy
 	case e.Effect == endpoint.Stopped || ctx.Err() != nil:
-		// A deadline that passes says nothing by itself: the call may have begun late.
+		// An expired deadline is not the endpoint's fault: the call may have started late.
 		return scheduling.Abandoned
 	}
 	return scheduling.Failure
@@ -286,12 +287,12 @@
 	return &scheduling.Report{Running: load.Running, Waiting: load.Waiting}
 }
 
-// mayRetry tells whether another attempt may follow one that failed with err. What
-// surely did not run may be tried again for any request; what may have run only for
-// a repeatable one, and within the budget.
+// mayRetry reports whether a failed attempt may be retried. An attempt that certainly
+// did not run may always be retried; one that may have run only if the request is
+// repeatable and the retry budget allows it.
 func (s *stageRun) mayRetry(err error) bool {
 	var e *endpoint.Error
-	if !errors.As(err, &e) || len(s.tried) >= s.attemptBound() {
+	if !errors.As(err, &e) || len(s.tried) >= s.attemptLimit() {
 		return false
 	}
 	switch e.Effect {
@@ -307,14 +308,14 @@
 	return true
 }
 
-func (s *stageRun) attemptBound() int {
+func (s *stageRun) attemptLimit() int {
 	if s.Baseline {
-		return baselineAttempts
+		return baselineMaxAttempts
 	}
 	return maxAttempts
 }
 
-// hedgeDelay is how long an attempt may take before a second is sent beside it.
+// hedgeDelay returns the delay after which an attempt is hedged.
 func (s *stageRun) hedgeDelay() time.Duration {
 	mean, deviation := s.pool.Latency(s.Clock.Now())
 	if mean == 0 {
@@ -323,9 +324,9 @@
 	return max(minHedgeDelay, mean+hedgeDeviations*deviation)
 }
 
-// hedge returns a grant for a second attempt beside a slow one, or nil. Only work
-// that may be repeated is, while endpoints are free, and within the retry budget.
-// Streams are not hedged but resumed, see generate.
+// hedge returns a grant for a hedged attempt, or nil. Only repeatable requests are
+// hedged, if there is free capacity and retry budget. Streams are resumed instead, see
+// generate.
 func (s *stageRun) hedge(running int) *scheduling.Grant {
 	if s.Baseline || !s.request.Repeatable || s.stage.Kind == config.Generation {
 		return nil
@@ -333,19 +334,19 @@
 	if running != 1 || len(s.tried) >= maxAttempts || !s.pool.HasFreeCapacity() || !s.pool.TryRetry() {
 		return nil
 	}
-	verdict := s.pool.Acquire(s.Clock.Now(), s.stageWork())
-	if verdict.Waiter != nil {
-		verdict, _ = s.pool.Withdraw(verdict.Waiter)
+	result := s.pool.Acquire(s.Clock.Now(), s.stageWork())
+	if result.Waiter != nil {
+		result, _ = s.pool.Withdraw(result.Waiter)
 	}
-	if verdict.Grant == nil {
+	if result.Grant == nil {
 		return nil
 	}
-	s.tried = append(s.tried, verdict.Grant.Endpoint.Name)
+	s.tried = append(s.tried, result.Grant.Endpoint.Name)
 	s.Metrics.hedges.Inc()
-	return verdict.Grant
+	return result.Grant
 }
 
-// callProblem explains a failed call to the caller.
+// callProblem returns the problem for a stage whose call failed.
 func callProblem(err error, stage string) error {
-	return problem.Wrap(err, problem.Unavailable, "see the time line of the request; ask again if the outcome allows it", "stage %s got no answer", stage)
+	return problem.Wrap(err, problem.Unavailable, "see the request's timeline; retry if the outcome permits it", "stage %s failed", stage)
 }
--- a/pkg/traffic/suite_test.go
+++ b/pkg/traffic/suite_test.go
@@ -32,10 +32,9 @@
 	RunSpecs(t, "traffic")
 }
 
-// bench is an executor over real stand-in endpoints: two of each of four services,
-// and a plain one.
+// bench is an executor over stand-in endpoints, two per service.
 type bench struct {
-	cancels  heldCancels
+	caller   faultyCaller
 	clock    stageEndClock
 	site     *standin.Site
 	executor *traffic.Executor
@@ -54,21 +53,21 @@
 	{Name: "alert", Kind: config.Plain, Concurrency: 4},
 }
 
-// ringEvents holds all events of the longest run, 200 requests of at most 16 events each, so that
-// what a test counts is all that happened and not the last part of it.
+// ringEvents is large enough for all events of any test, so that none is dropped.
 const ringEvents = 4000
 
-// heldCancels is a caller whose cancellations are not answered while they are held.
-type heldCancels struct {
+// faultyCaller is a caller that can block cancellations and override call deadlines.
+type faultyCaller struct {
 	endpoint.Caller
-	hold atomic.Bool
-	// keepDeadlines ends each call at its own deadline, whatever its context says.
-	keepDeadlines atomic.Bool
+	// blockCancels blocks cancellations until their context is done.
+	blockCancels atomic.Bool
+	// enforceDeadlines cancels each call at its own deadline, regardless of its context.
+	enforceDeadlines atomic.Bool
 }
 
 // Cancel implements endpoint.Caller.
-func (c *heldCancels) Cancel(ctx context.Context, address string, attempt endpoint.Attempt) error {
-	if c.hold.Load() {
+func (c *faultyCaller) Cancel(ctx context.Context, address string, attempt endpoint.Attempt) error {
+	if c.blockCancels.Load() {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -76,24 +75,24 @@
 }
 
 // Call implements endpoint.Caller.
-func (c *heldCancels) Call(ctx context.Context, address string, call endpoint.Call) (endpoint.Answer, error) {
-	ctx, stop := c.bound(ctx, call)
+func (c *faultyCaller) Call(ctx context.Context, address string, call endpoint.Call) (endpoint.Answer, error) {
+	ctx, stop := c.callContext(ctx, call)
 	defer stop()
 	return c.Caller.Call(ctx, address, call)
 }
 
 // Generate implements endpoint.Caller.
-func (c *heldCancels) Generate(ctx context.Context, address string, call endpoint.Call, prior []endpoint.Token, sink func(endpoint.Token) error) (endpoint.Answer, error) {
-	ctx, stop := c.bound(ctx, call)
+func (c *faultyCaller) Generate(ctx context.Context, address string, call endpoint.Call, prior []endpoint.Token, sink func(endpoint.Token) error) (endpoint.Answer, error) {
+	ctx, stop := c.callContext(ctx, call)
 	defer stop()
 	return c.Caller.Generate(ctx, address, call, prior, sink)
 }
 
-// bound returns the context of a call. It uses a timer, since a context that has a keptDeadline
-// above it sets none.
-func (c *heldCancels) bound(ctx context.Context, call endpoint.Call) (context.Context, func()) {
+// callContext returns the context of a call. It uses a timer because a context derived from an
+// unenforcedDeadline does not set one.
+func (c *faultyCaller) callContext(ctx context.Context, call endpoint.Call) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	if !c.keepDeadlines.Load() {
+	if !c.enforceDeadlines.Load() {
 		return ctx, cancel
 	}
 	timer := time.AfterFunc(time.Until(call.Deadline), cancel)
@@ -103,18 +102,17 @@
 	}
 }
 
-// keptDeadline is a context that names a deadline and does not end at it, so that the contexts
-// derived from it end by their calls alone.
-type keptDeadline struct {
+// unenforcedDeadline is a context that reports a deadline but is not done at it, so that only the
+// calls themselves expire.
+type unenforcedDeadline struct {
 	context.Context
 	deadline time.Time
 }
 
 // Deadline implements context.Context.
-func (c keptDeadline) Deadline() (time.Time, bool) { return c.deadline, true }
+func (c unenforcedDeadline) Deadline() (time.Time, bool) { return c.deadline, true }
 
-// stageEndClock calls a function before a stage reports its end: the executor reads the time since
-// the stage's start there and nowhere else.
+// stageEndClock calls a function when a stage has ended, which is when the executor calls Since.
 type stageEndClock struct {
 	clockwork.Clock
 	beforeStageEnd atomic.Value
@@ -134,7 +132,7 @@
 	return b
 }
 
-// must panics on err, so that the bench serves benchmarks, too.
+// must panics on err. It is also used by benchmarks, which cannot use Gomega assertions.
 func must(err error) {
 	if err != nil {
 		panic(err)
@@ -156,7 +154,7 @@
 	b.clock.Clock = clock
 	b.ring = timeline.NewRing("test", timeline.NewClock(clock), ringEvents)
 	client := openinference.New(1 << 20)
-	b.cancels.Caller = client
+	b.caller.Caller = client
 	view := b.view()
 	b.executor = traffic.New(traffic.Options{
 		Instance: "test",
@@ -166,7 +164,7 @@
 			defer b.mu.Unlock()
 			b.leaving = append(b.leaving, e.Name)
 		},
-		Caller:      &b.cancels,
+		Caller:      &b.caller,
 		Clock:       &b.clock,
 		Ring:        b.ring,
 		Log:         logging.Discard().For("traffic"),
@@ -224,14 +222,15 @@
 func (b *bench) makePools() {
 	for _, s := range services {
 		b.pools[s.Name] = scheduling.NewPool(scheduling.Config{Policy: scheduling.Adaptive, FailureDomain: "here", Concurrency: 4, MaxQueue: 100}, rand.New(rand.NewPCG(1, 2)))
-		b.both(s.Name)
+		b.useBoth(s.Name)
 	}
 }
 
-// both gives a service's pool its two endpoints, onlyFirst the first alone.
-func (b *bench) both(service string) { b.update(service, "1", "2") }
+// useBoth updates a service's pool to both endpoints.
+func (b *bench) useBoth(service string) { b.update(service, "1", "2") }
 
-func (b *bench) onlyFirst(service string) { b.update(service, "1") }
+// useFirst updates a service's pool to its first endpoint.
+func (b *bench) useFirst(service string) { b.update(service, "1") }
 
 func (b *bench) update(service string, suffixes ...string) {
 	var list []scheduling.Endpoint
@@ -245,13 +244,13 @@
 	return b.site.Endpoints[service+"-"+suffix]
 }
 
-// fault sets the faults of both endpoints of a service.
+// fault injects faults at both endpoints of a service.
 func (b *bench) fault(service string, f standin.EndpointFaults) {
 	b.endpoint(service, "1").SetFaults(f)
 	b.endpoint(service, "2").SetFaults(f)
 }
 
-// faultNext sets faults for the next call to the service, wherever it goes.
+// faultNext injects faults for the next call to either endpoint of a service.
 func (b *bench) faultNext(service string, f standin.EndpointFaults) {
 	next := standin.NewNextCall(f)
 	b.endpoint(service, "1").SetNextCall(next)
@@ -266,7 +265,7 @@
 	return b.executor.Run(context.Background(), r, nil)
 }
 
-// runs counts what the endpoints have run of a stage.
+// runs returns the number of completed executions of a stage.
 func (b *bench) runs(stage string) int {
 	n := 0
 	for _, run := range b.site.Runs() {
@@ -288,7 +287,7 @@
 	return n
 }
 
-// expected is the whole right answer to a request to the bulletin pipeline.
+// expected returns the expected output of a request to the bulletin pipeline.
 func expected(r request.Request) string {
 	input := stageInput(r.Input, "", nil)
 	before := standin.Output(r.ID, "encode", input)
