--- a/pkg/request/request.go
+++ b/pkg/request/request.go
@@ -1,5 +1,5 @@
-// Package request defines a caller's request and its result: what the core packages
-// and the faces share.
+// Package request defines a caller's request and its result, which the core packages
+// share with the API services.
 package request
 
 import (
@@ -9,45 +9,45 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
-// Request is one caller's request to a pipeline.
+// Request is a caller's request to a pipeline.
 type Request struct {
 	ID           string
 	Organisation string
-	// Priority names a priority class; empty is rank 0.
+	// Priority is the name of a priority class; empty means rank 0.
 	Priority string
 	Pipeline string
 	Input    json.RawMessage
 	Deadline time.Time
 	// Repeatable is false for a request that must run at most once.
 	Repeatable bool
-	// Ticket binds a not-repeatable request to the instance that may run it.
+	// Ticket binds a non-repeatable request to the instance that may run it.
 	Ticket string
-	// PromptCacheKey names a prompt prefix that many requests share.
+	// PromptCacheKey identifies a prompt prefix shared by several requests.
 	PromptCacheKey string
 }
 
-// Outcome says what became of a request.
+// Outcome is the outcome of a request.
 type Outcome string
 
-// The outcomes.
+// The request outcomes.
 const (
-	// Answered: the whole answer is in the result.
+	// Answered means that the result holds the complete answer.
 	Answered Outcome = "answered"
-	// NotRun: nothing of the request ran, and nothing of it will.
+	// NotRun means that no part of the request ran or will run.
 	NotRun Outcome = "not_run"
-	// Failed: some stages ran; none is running and none will.
+	// Failed means that some stages ran, and that none is running or will run.
 	Failed Outcome = "failed"
-	// Unknown: a stage may still run, or may have run.
+	// Unknown means that a stage may have run or may still be running.
 	Unknown Outcome = "unknown"
 )
 
-// StageReport says what became of one stage.
+// StageReport describes the execution of one stage.
 type StageReport struct {
 	Name string
-	// Endpoint gave the answer; empty if none did.
+	// Endpoint is the name of the endpoint that answered; empty if none did.
 	Endpoint string
 	Attempts int
-	// Ms is the time from the first attempt to the answer, in milliseconds.
+	// Ms is the duration from the first attempt to the answer, in milliseconds.
 	Ms   float64
 	Done bool
 }
@@ -58,33 +58,33 @@
 	Outcome   Outcome
 	Output    json.RawMessage
 	Stages    []StageReport
-	// Problem is why there is no answer; nil if there is one.
+	// Problem is the reason why there is no answer, or nil.
 	Problem *Problem
-	// RetryAfterMs is when asking again may help; 0 if not known.
+	// RetryAfterMs is the suggested delay before a retry; 0 if unknown.
 	RetryAfterMs int64
-	// Instance gave the result.
+	// Instance is the name of the instance that returned the result.
 	Instance string
 }
 
-// Problem is a problem.Problem as it crosses a face.
+// Problem is the external representation of a problem.Problem.
 type Problem struct {
 	Kind    problem.Kind
 	Message string
 	Remedy  string
 }
 
-// ProblemOf returns err in the form that crosses a face.
+// ProblemOf returns the external representation of err.
 func ProblemOf(err error) *Problem {
 	p := problem.Find(err)
 	if p == nil {
-		return &Problem{Kind: problem.Internal, Message: err.Error(), Remedy: "report this with the request's time line"}
+		return &Problem{Kind: problem.Internal, Message: err.Error(), Remedy: "report this with the request's timeline"}
 	}
 	short := *p
 	short.Remedy = ""
 	return &Problem{Kind: p.Kind, Message: short.Error(), Remedy: p.Remedy}
 }
 
-// Refuse returns the result of a request of which nothing ran.
+// Refuse returns the result of a rejected request, no part of which ran.
 func Refuse(id string, err error) Result {
 	return Result{RequestID: id, Outcome: NotRun, Problem: ProblemOf(err)}
 }
