--- a/pkg/control/control.go
+++ b/pkg/control/control.go
@@ -21,47 +21,45 @@
 )
 
 const (
-	// queueLength bounds the events that wait. Senders wait when it is full.
+	// queueLength is the capacity of the event queue. Senders block when it is full.
 	queueLength = 1024
-	// tickPeriod is the time between ticks of the pools.
+	// tickPeriod is the interval between ticks of the pools.
 	tickPeriod = 20 * time.Millisecond
-	// listedGrace is how long an endpoint stays after the instance list has
-	// dropped it without having called it leaving: lists have gaps.
-	listedGrace = 5 * time.Second
-	// sharedFor is how long an endpoint that is leaving is named in heartbeats. Each
-	// costs some 25 bytes in every heartbeat of every instance.
-	sharedFor = 15 * time.Second
+	// unlistedGracePeriod is how long an endpoint is kept after it disappears from the
+	// instance list, which may be temporarily incomplete.
+	unlistedGracePeriod = 5 * time.Second
+	// leavingGossipPeriod is how long a leaving endpoint is included in heartbeats.
+	leavingGossipPeriod = 15 * time.Second
 )
 
-// Settings of the control service.
+// Settings configure a Control.
 type Settings struct {
 	FailureDomain string
 	Policy        scheduling.Policy
 	MaxQueue      int
 	Seed          uint64
-	// Self is this instance as its peers see it.
+	// Self describes this instance to its peers.
 	Self membership.Self
-	// Contacts are peer addresses to begin with.
+	// Contacts are the addresses of the initial peers.
 	Contacts []string
-	// Heartbeat is the time between heartbeats, SuspectAfter the silence after
-	// which a peer is suspected.
+	// Heartbeat is the heartbeat interval. SuspectAfter is the time without
+	// heartbeats after which a peer is suspected.
 	Heartbeat    time.Duration
 	SuspectAfter time.Duration
 }
 
-// Peers is how the control service reaches the other instances. Its methods must
-// not block.
+// Peers sends messages to the other instances. Its methods must not block.
 type Peers interface {
 	// Broadcast sends a heartbeat to the addresses.
 	Broadcast(h membership.Heartbeat, leaving []LeavingEndpoint, to []string)
-	// Behind says that a peer has a newer configuration in force.
+	// Behind reports that a peer has a newer configuration.
 	Behind(peer membership.Self, revision uint64)
 }
 
-// event is what the control goroutine handles.
+// event is a state change that the control goroutine applies.
 type event interface{ apply(c *Control) }
 
-// Control owns the control state. Its methods may be called from any goroutine.
+// Control maintains the control state. Safe for concurrent use.
 type Control struct {
 	settings Settings
 	clock    clockwork.Clock
@@ -70,13 +68,13 @@
 	events   chan event
 	view     atomic.Pointer[View]
 
-	// The fields below belong to the control goroutine.
+	// The fields below are only modified by the control goroutine.
 	configuration *config.Configuration
 	confirmed     bool
 	instances     ratelimit.InstanceCounts
 	listed        map[string]*listedEndpoint
-	missing       int                     // of the listed, those that the list lacks now
-	leaving       map[string]leavingSince // by endpoint, as heard from list, answers and peers
+	missing       int                     // number of listed endpoints missing from the latest list
+	leaving       map[string]leavingSince // by endpoint name
 	pools         map[string]*scheduling.Pool
 	leavingShared atomic.Pointer[[]LeavingEndpoint]
 	members       *membership.Members
@@ -89,24 +87,24 @@
 // listedEndpoint is an endpoint of the instance list.
 type listedEndpoint struct {
 	infra.Listed
-	// missing is since when the list lacks it; zero while it is there.
-	missing time.Time
+	// missingSince is when the endpoint disappeared from the list; zero while listed.
+	missingSince time.Time
 }
 
-// leavingSince is the incarnation of an endpoint that is leaving, and since when that
-// is known here.
+// leavingSince is the incarnation of a leaving endpoint and when this instance learned
+// of it.
 type leavingSince struct {
 	incarnation uint64
 	since       time.Time
 }
 
-// LeavingEndpoint is one incarnation of an endpoint known to be leaving.
+// LeavingEndpoint is an incarnation of an endpoint that is leaving.
 type LeavingEndpoint struct {
 	Name        string
 	Incarnation uint64
 }
 
-// New returns a control service; Run must be called for it to work.
+// New returns a Control; Run must be called to process its events.
 func New(settings Settings, peers Peers, clock clockwork.Clock, ring *timeline.Ring, log *logrus.Entry) *Control {
 	c := &Control{
 		settings:      settings,
@@ -129,7 +127,7 @@
 	return c
 }
 
-// Run handles events until t dies.
+// Run processes events until t is dying.
 func (c *Control) Run(t *tomb.Tomb) error {
 	ticker := c.clock.NewTicker(tickPeriod)
 	defer ticker.Stop()
@@ -140,7 +138,7 @@
 		case e := <-c.events:
 			e.apply(c)
 		case <-heartbeat.Chan():
-			c.beat()
+			c.sendHeartbeats()
 		case <-ticker.Chan():
 			c.tick()
 		case <-t.Dying():
@@ -156,19 +154,20 @@
 	}
 }
 
-// View returns the newest view. It is never nil.
+// View returns the current view. It is never nil.
 func (c *Control) View() *View { return c.view.Load() }
 
-// LeavingEndpoints returns the endpoints known to be leaving. Not to be changed.
+// LeavingEndpoints returns the endpoints recently reported as leaving. The caller must
+// not modify the slice.
 func (c *Control) LeavingEndpoints() []LeavingEndpoint { return *c.leavingShared.Load() }
 
-// Configure puts a configuration in force. It does not block for long.
+// Configure applies a new configuration. It blocks only while the event queue is full.
 func (c *Control) Configure(next *config.Configuration) { c.events <- configured{next} }
 
-// Confirm says that the configuration is as new as can be found out.
+// Confirm marks the configuration as synchronised.
 func (c *Control) Confirm() { c.events <- confirmed{} }
 
-// SetListed takes in a reading of the instance list, or that it is unchanged.
+// SetListed processes a result of InstanceList.List.
 func (c *Control) SetListed(list []infra.Listed, unchanged bool) {
 	if unchanged {
 		c.events <- listUnchanged{}
@@ -177,9 +176,9 @@
 	c.events <- listRead{list}
 }
 
-// Leaving says that an endpoint's incarnation is leaving, as its own answer or a
-// peer has told.
-func (c *Control) Leaving(e LeavingEndpoint, from string) { c.events <- left{e, from} }
+// Leaving reports that an incarnation of an endpoint is leaving. from is the source of
+// the information: the endpoint or a peer.
+func (c *Control) Leaving(e LeavingEndpoint, from string) { c.events <- endpointLeaving{e, from} }
 
 type configured struct{ next *config.Configuration }
 
@@ -189,14 +188,14 @@
 	}
 	before := c.configuration.Evacuated()
 	c.configuration = e.next
-	c.rebuild()
+	c.rebuildPools()
 	c.logEvacuations(before, e.next.Evacuated())
 	c.publish()
 	c.ring.Add(timeline.Event{Kind: timeline.ChangeInForce, Change: lastChange(e.next), Detail: revisionText(e.next.Revision())})
 	c.log.WithFields(logrus.Fields{"event": "configuration_in_force", "revision": e.next.Revision()}).Info()
 }
 
-// logEvacuations logs which failure domains get no new work from now on, and which do again.
+// logEvacuations logs the failure domains that were evacuated or returned to service.
 func (c *Control) logEvacuations(before, after []string) {
 	for _, domain := range after {
 		if !slices.Contains(before, domain) {
@@ -210,7 +209,7 @@
 	}
 }
 
-// endpointsIn counts the listed endpoints of a failure domain.
+// endpointsIn returns the number of listed endpoints in a failure domain.
 func (c *Control) endpointsIn(domain string) int {
 	n := 0
 	for _, l := range c.listed {
@@ -253,8 +252,8 @@
 			continue
 		}
 		c.missing++
-		if l.missing.IsZero() {
-			l.missing = now
+		if l.missingSince.IsZero() {
+			l.missingSince = now
 		}
 	}
 	c.dropMissing(now)
@@ -269,12 +268,12 @@
 	}
 }
 
-// dropMissing forgets the endpoints that the list has lacked for too long, and tells
-// whether there were any.
+// dropMissing removes the endpoints missing from the list for longer than the grace
+// period, and reports whether there were any.
 func (c *Control) dropMissing(now time.Time) bool {
 	dropped := false
 	for name, l := range c.listed {
-		if l.missing.IsZero() || now.Sub(l.missing) <= listedGrace {
+		if l.missingSince.IsZero() || now.Sub(l.missingSince) <= unlistedGracePeriod {
 			continue
 		}
 		delete(c.listed, name)
@@ -285,12 +284,12 @@
 	return dropped
 }
 
-type left struct {
+type endpointLeaving struct {
 	endpoint LeavingEndpoint
 	from     string
 }
 
-func (e left) apply(c *Control) {
+func (e endpointLeaving) apply(c *Control) {
 	if !c.noteLeaving(e.endpoint, e.from) {
 		return
 	}
@@ -299,8 +298,8 @@
 	}
 }
 
-// noteLeaving remembers that an endpoint is leaving, and tells whether it was news.
-// An incarnation that is leaving never comes back; a higher one is another process.
+// noteLeaving records that an endpoint is leaving, and reports whether this is new
+// information. A leaving incarnation never returns; a higher one is a new process.
 func (c *Control) noteLeaving(e LeavingEndpoint, from string) bool {
 	known, ok := c.leaving[e.Name]
 	if ok && known.incarnation >= e.Incarnation {
@@ -308,17 +307,17 @@
 	}
 	c.leaving[e.Name] = leavingSince{incarnation: e.Incarnation, since: c.clock.Now()}
 	c.shareLeaving()
-	c.ring.Add(timeline.Event{Kind: timeline.EndpointLeaving, Endpoint: e.Name, Detail: "told by " + from})
+	c.ring.Add(timeline.Event{Kind: timeline.EndpointLeaving, Endpoint: e.Name, Detail: "reported by " + from})
 	c.log.WithFields(logrus.Fields{"event": "endpoint_leaving", "endpoint": e.Name, "incarnation": e.Incarnation, "from": from}).Info()
 	return true
 }
 
-// shareLeaving sets what the heartbeats tell: the endpoints that are newly known as
-// leaving. Whoever hears it tells it on for as long, and the list tells the rest.
+// shareLeaving publishes the recently reported leaving endpoints for heartbeats. Peers
+// forward them for the same period; later they are known from the instance list.
 func (c *Control) shareLeaving() {
 	shared := make([]LeavingEndpoint, 0, len(c.leaving))
 	for name, l := range c.leaving {
-		if c.clock.Since(l.since) <= sharedFor {
+		if c.clock.Since(l.since) <= leavingGossipPeriod {
 			shared = append(shared, LeavingEndpoint{name, l.incarnation})
 		}
 	}
@@ -326,8 +325,8 @@
 	c.leavingShared.Store(&shared)
 }
 
-// rebuild makes the pools of the configured services.
-func (c *Control) rebuild() {
+// rebuildPools creates and removes pools to match the configured services.
+func (c *Control) rebuildPools() {
 	pools := map[string]*scheduling.Pool{}
 	for i, s := range c.configuration.Services() {
 		pool := c.pools[s.Name]
@@ -345,12 +344,12 @@
 	c.updatePools()
 }
 
-// updatePools gives each pool its endpoints.
+// updatePools sets the endpoints of each pool.
 func (c *Control) updatePools() {
 	evacuated := c.configuration.Evacuated()
 	byService := map[string][]scheduling.Endpoint{}
 	for _, l := range c.listed {
-		byService[l.Service] = append(byService[l.Service], c.convert(l, evacuated))
+		byService[l.Service] = append(byService[l.Service], c.poolEndpoint(l, evacuated))
 	}
 	now := c.clock.Now()
 	for name, pool := range c.pools {
@@ -361,16 +360,16 @@
 	}
 }
 
-// convert returns an endpoint as the pools see it. One in an evacuated failure domain gets no new work,
-// as one that leaves, but comes back when its domain does.
-func (c *Control) convert(l *listedEndpoint, evacuated []string) scheduling.Endpoint {
-	leaving, told := c.leaving[l.Name]
+// poolEndpoint converts a listed endpoint for its pool. Endpoints in an evacuated failure domain are
+// marked as leaving until the evacuation ends.
+func (c *Control) poolEndpoint(l *listedEndpoint, evacuated []string) scheduling.Endpoint {
+	leaving, reported := c.leaving[l.Name]
 	return scheduling.Endpoint{
 		Name:          l.Name,
 		Address:       l.Address,
 		FailureDomain: l.FailureDomain,
 		Incarnation:   l.Incarnation,
-		Leaving:       told && leaving.incarnation >= l.Incarnation || slices.Contains(evacuated, l.FailureDomain),
+		Leaving:       reported && leaving.incarnation >= l.Incarnation || slices.Contains(evacuated, l.FailureDomain),
 		ChecksTokens:  l.ChecksTokens,
 	}
 }
--- a/pkg/control/peers.go
+++ b/pkg/control/peers.go
@@ -8,31 +8,31 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/timeline"
 )
 
-// Heard takes in a peer's heartbeat and the endpoints that it knows as leaving.
+// Heard processes a peer's heartbeat and the leaving endpoints it reports.
 func (c *Control) Heard(h membership.Heartbeat, leaving []LeavingEndpoint) {
-	c.events <- heard{h, leaving}
+	c.events <- heartbeatReceived{h, leaving}
 }
 
-// Stopping has the peers told, at once and with each further heartbeat, that this
-// instance is leaving.
+// Stopping announces to the peers, immediately and with each further heartbeat, that
+// this instance is leaving.
 func (c *Control) Stopping() { c.events <- stopping{} }
 
-// Members returns what is known of the other instances. Not to be changed.
+// Members returns the known other instances. The caller must not modify the slice.
 func (c *Control) Members() []membership.Member { return *c.membersShared.Load() }
 
-// Self returns this instance as its peers see it.
+// Self returns the description of this instance sent to its peers.
 func (c *Control) Self() membership.Self { return c.settings.Self }
 
-type heard struct {
+type heartbeatReceived struct {
 	heartbeat membership.Heartbeat
 	leaving   []LeavingEndpoint
 }
 
-func (e heard) apply(c *Control) {
+func (e heartbeatReceived) apply(c *Control) {
 	changes := c.members.Observe(c.clock.Now(), e.heartbeat)
 	c.noteMembers(changes)
 	for _, endpoint := range e.leaving {
-		left{endpoint, "instance " + e.heartbeat.From.Name}.apply(c)
+		endpointLeaving{endpoint, "instance " + e.heartbeat.From.Name}.apply(c)
 	}
 	if e.heartbeat.Revision > c.configuration.Revision() && e.heartbeat.From.Name != c.settings.Self.Name {
 		c.peers.Behind(e.heartbeat.From, e.heartbeat.Revision)
@@ -43,11 +43,11 @@
 
 func (stopping) apply(c *Control) {
 	c.stopping = true
-	c.beat()
+	c.sendHeartbeats()
 }
 
-// beat sends a heartbeat and looks for peers that have been silent for too long.
-func (c *Control) beat() {
+// sendHeartbeats sends heartbeats and updates the states of silent peers.
+func (c *Control) sendHeartbeats() {
 	now := c.clock.Now()
 	c.shareLeaving()
 	changes := c.members.Tick(now)
@@ -61,7 +61,7 @@
 	c.shareMembers()
 }
 
-// noteMembers records changes of state and counts the live instances anew.
+// noteMembers records membership changes and recounts the live instances.
 func (c *Control) noteMembers(changes []membership.Change) {
 	if len(changes) == 0 {
 		return
--- a/pkg/control/view.go
+++ b/pkg/control/view.go
@@ -1,5 +1,6 @@
-// Package control owns the control state of an instance: one goroutine takes typed
-// events from one queue and publishes an immutable view, which traffic reads.
+// Package control maintains the control state of an instance. A single goroutine
+// applies events from a queue and publishes immutable views, which request execution
+// reads.
 package control
 
 import (
@@ -8,18 +9,18 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/scheduling"
 )
 
-// View is what traffic decides by. It is immutable, but for the pools in it, which
-// guard themselves.
+// View is a snapshot of the control state. It is immutable, except for the pools,
+// which are safe for concurrent use.
 type View struct {
 	Configuration *config.Configuration
-	// Pools by service.
+	// Pools holds the endpoint pools by service.
 	Pools map[string]*scheduling.Pool
-	// Plans by pipeline.
+	// Plans holds the plans by pipeline.
 	Plans map[string]*scheduling.Plan
-	// Instances is the number of live instances, this one included, in the own
-	// failure domain and in all.
+	// Instances is the number of live instances, including this one, in this failure
+	// domain and in total.
 	Instances ratelimit.InstanceCounts
-	// Confirmed is set once the configuration is known to be as new as can be
-	// found out; before, nothing is served.
+	// Confirmed is set once the configuration has been synchronised with the key-value
+	// service or a peer. Requests are rejected until then.
 	Confirmed bool
 }
