--- a/pkg/problem/problem.go
+++ b/pkg/problem/problem.go
@@ -1,5 +1,5 @@
-// Package problem defines the typed errors of cobaltcroft. Each has a kind for
-// programs and a text that names the remedy for people.
+// Package problem defines the typed errors of cobaltcroft. Each has a
+// machine-readable kind, a message and a remedy.
 package problem
 
 import (
@@ -9,46 +9,45 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind identifies a class of errors. Kinds are stable: callers and operators'
-// automation may compare them.
+// Kind is a class of errors. Kinds are part of the public API.
 type Kind string
 
-// The kinds of error that cross a face of the system.
+// The error kinds.
 const (
-	// Invalid says that the input is wrong and must be changed.
+	// Invalid means that the input is invalid.
 	Invalid Kind = "invalid"
-	// Conflict says that another change came first.
+	// Conflict means that a concurrent change was accepted first.
 	Conflict Kind = "conflict"
-	// Unavailable says that something needed is out; nothing was done.
+	// Unavailable means that a dependency is unavailable; nothing was done.
 	Unavailable Kind = "unavailable"
-	// Unknown says that the effect of the call could not be determined.
+	// Unknown means that the effect of the call could not be determined.
 	Unknown Kind = "unknown"
-	// NotFound says that the named thing does not exist.
+	// NotFound means that the named object does not exist.
 	NotFound Kind = "not_found"
-	// Denied says that the caller's token is missing or wrong.
+	// Denied means that the caller's token is missing or invalid.
 	Denied Kind = "denied"
-	// Overloaded says that the work was refused for lack of room.
+	// Overloaded means that the work was rejected for lack of capacity.
 	Overloaded Kind = "overloaded"
-	// Deadline says that the time was up.
+	// Deadline means that the deadline was exceeded.
 	Deadline Kind = "deadline"
-	// Internal says that the program is at fault.
+	// Internal means that there is a defect in the program.
 	Internal Kind = "internal"
 )
 
-// Problem is an error with its kind, facts and remedy.
+// Problem is an error with a kind, a message and a remedy.
 type Problem struct {
 	Kind Kind
-	// What happened, with the facts: names, values, limits.
+	// What is the message, including the relevant names, values and limits.
 	What string
-	// Remedy is what the reader can do about it.
+	// Remedy is the suggested corrective action.
 	Remedy string
-	// Faults lists each single fault where several were found.
+	// Faults lists the individual faults if several were found.
 	Faults []string
-	// Cause is the error underneath, or nil.
+	// Cause is the underlying error, or nil.
 	Cause error
 }
 
-// New returns a Problem. The text of what may be formatted with args.
+// New returns a Problem whose message is formatted from what and args.
 func New(kind Kind, remedy, what string, args ...any) *Problem {
 	return &Problem{Kind: kind, What: fmt.Sprintf(what, args...), Remedy: remedy}
 }
@@ -60,7 +59,7 @@
 	return p
 }
 
-// Error gives what happened, the faults, the cause and the remedy, in one line.
+// Error returns the message, the faults, the cause and the remedy in one line.
 func (p *Problem) Error() string {
 	var b strings.Builder
 	b.WriteString(p.What)
@@ -79,8 +78,8 @@
 // Unwrap returns the cause.
 func (p *Problem) Unwrap() error { return p.Cause }
 
-// KindOf returns the kind of the first Problem in err's chain, and Internal
-// for any other error.
+// KindOf returns the kind of the first Problem in err's chain, or Internal if there
+// is none.
 func KindOf(err error) Kind {
 	p := Find(err)
 	if p == nil {
