--- a/pkg/timeline/clock.go
+++ b/pkg/timeline/clock.go
@@ -1,4 +1,4 @@
-// Package timeline records what happens in a process as typed events, stamped so
+// Package timeline records the events of a process with hybrid logical timestamps, so
 // that the events of all processes can be merged in causal order.
 package timeline
 
@@ -8,14 +8,14 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Stamp is a hybrid logical clock reading: wall time, and a counter that orders
-// events within one millisecond or while the wall clock stands behind a peer's.
+// Stamp is a hybrid logical timestamp: the wall time, and a counter that orders events
+// within a millisecond or while the wall clock is behind a peer's.
 type Stamp struct {
 	WallMs  int64  `json:"wall_ms"`
 	Logical uint32 `json:"logical"`
 }
 
-// Less tells whether s is before t.
+// Less reports whether s is before t.
 func (s Stamp) Less(t Stamp) bool {
 	if s.WallMs != t.WallMs {
 		return s.WallMs < t.WallMs
@@ -23,8 +23,8 @@
 	return s.Logical < t.Logical
 }
 
-// MaxDriftMs bounds how far ahead of the local clock a peer's stamp is followed.
-// A stamp further ahead is a broken clock and is ignored.
+// MaxDriftMs is the maximum lead of a peer's stamp over the local clock. Stamps further
+// ahead are ignored.
 const MaxDriftMs = 60_000
 
 // Clock is a hybrid logical clock (Kulkarni et al., 2014). Safe for concurrent use.
@@ -34,10 +34,10 @@
 	last Stamp
 }
 
-// NewClock returns a clock over the given wall clock.
+// NewClock returns a clock based on the given wall clock.
 func NewClock(wall clockwork.Clock) *Clock { return &Clock{wall: wall} }
 
-// Now returns a stamp after all stamps returned or observed before.
+// Now returns a stamp later than all stamps returned or observed so far.
 func (c *Clock) Now() Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,7 +50,7 @@
 	return c.last
 }
 
-// Observe moves the clock past a peer's stamp.
+// Observe advances the clock past a peer's stamp.
 func (c *Clock) Observe(s Stamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/timeline/ring.go
+++ b/pkg/timeline/ring.go
@@ -8,7 +8,7 @@
 // Kind is the type of an event.
 type Kind string
 
-// The kinds of event.
+// The event kinds.
 const (
 	RequestAccepted  Kind = "request_accepted"
 	RequestFinished  Kind = "request_finished"
@@ -36,7 +36,7 @@
 	InstanceStopping Kind = "instance_stopping"
 )
 
-// Event is one thing that happened. Fields that do not apply are empty.
+// Event is a timeline event. Fields that do not apply are empty.
 type Event struct {
 	Stamp    Stamp  `json:"stamp"`
 	Instance string `json:"instance"`
@@ -49,10 +49,10 @@
 	Detail   string `json:"detail,omitempty"`
 }
 
-// DefaultCapacity is the number of events a Ring holds.
+// DefaultCapacity is the default number of events that a Ring holds.
 const DefaultCapacity = 8192
 
-// Ring keeps the newest events of one process. Safe for concurrent use.
+// Ring is a ring buffer of the latest events of a process. Safe for concurrent use.
 type Ring struct {
 	mu       sync.Mutex
 	clock    *Clock
@@ -61,7 +61,7 @@
 	next     uint64
 }
 
-// NewRing returns a ring for an instance's events.
+// NewRing returns a ring buffer for capacity events of an instance.
 func NewRing(instance string, clock *Clock, capacity int) *Ring {
 	return &Ring{clock: clock, instance: instance, events: make([]Event, capacity)}
 }
@@ -69,7 +69,7 @@
 // Clock returns the clock that stamps the events.
 func (r *Ring) Clock() *Clock { return r.clock }
 
-// Add stamps and keeps e, in place of the oldest event if the ring is full.
+// Add stamps and stores e. It overwrites the oldest event if the ring is full.
 func (r *Ring) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,14 +79,14 @@
 	r.next++
 }
 
-// Filter selects events; an empty field selects all.
+// Filter selects events. An empty field matches all events.
 type Filter struct {
 	Request  string `json:"request,omitempty"`
 	Change   string `json:"change,omitempty"`
 	Endpoint string `json:"endpoint,omitempty"`
 }
 
-// Match tells whether e is selected.
+// Match reports whether e matches the filter.
 func (f Filter) Match(e Event) bool {
 	if f.Request != "" && f.Request != e.Request {
 		return false
@@ -97,8 +97,8 @@
 	return f.Endpoint == "" || f.Endpoint == e.Endpoint
 }
 
-// Select returns the events that match f, oldest first, and how many events of
-// any kind the ring has dropped so far.
+// Select returns the events that match f, oldest first, and the total number of events
+// overwritten so far.
 func (r *Ring) Select(f Filter) (selected []Event, dropped uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,7 +116,7 @@
 	return selected, first
 }
 
-// Merge sorts the events of several processes in causal order.
+// Merge merges the events of several processes in causal order.
 func Merge(parts ...[]Event) []Event {
 	var all []Event
 	for _, part := range parts {
--- a/pkg/timeline/timeline_test.go
+++ b/pkg/timeline/timeline_test.go
@@ -16,8 +16,8 @@
 	RunSpecs(t, "timeline")
 }
 
-var _ = Describe("the time line", func() {
-	It("orders cause before effect though the clocks of two processes differ", func() {
+var _ = Describe("the timeline", func() {
+	It("orders cause before effect despite clock skew between processes", func() {
 		ahead := clockwork.NewFakeClockAt(time.Unix(1000, 0))
 		behind := clockwork.NewFakeClockAt(time.Unix(990, 0))
 		a := timeline.NewRing("a", timeline.NewClock(ahead), 10)
@@ -36,7 +36,7 @@
 		Expect(kinds).To(Equal([]timeline.Kind{timeline.ChangeAccepted, timeline.ChangeInForce, timeline.PeerJoined}))
 	})
 
-	It("does not follow a clock that is far off, and never goes back", func() {
+	It("ignores stamps far ahead and never goes backwards", func() {
 		wall := clockwork.NewFakeClockAt(time.Unix(1000, 0))
 		c := timeline.NewClock(wall)
 		first := c.Now()
@@ -46,7 +46,7 @@
 		Expect(first.Less(c.Now())).To(BeTrue())
 	})
 
-	It("says how many events a full ring has dropped", func() {
+	It("counts the events that a full ring has dropped", func() {
 		r := timeline.NewRing("a", timeline.NewClock(clockwork.NewFakeClock()), 3)
 		for _, request := range []string{"1", "2", "3", "4", "5"} {
 			r.Add(timeline.Event{Request: request})
