--- a/pkg/logging/async.go
+++ b/pkg/logging/async.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// asyncLines bounds the lines that wait to be written.
-	asyncLines = 4096
-	// asyncBatch is how many bytes are written at once, about.
-	asyncBatch = 32 << 10
+	// asyncQueueLength is the maximum number of queued lines.
+	asyncQueueLength = 4096
+	// asyncBatchBytes is the approximate maximum size of a write.
+	asyncBatchBytes = 32 << 10
 )
 
-// Async is a writer that never blocks: lines wait in a bounded queue, and are dropped
-// and counted while it is full.
+// Async is a non-blocking writer. Lines are queued, and dropped and counted while the
+// queue is full.
 type Async struct {
 	out     io.Writer
 	lines   chan []byte
@@ -23,14 +23,14 @@
 	done    sync.WaitGroup
 }
 
-// NewAsync returns a writer that writes to out from a goroutine of its own.
+// NewAsync returns a writer that writes to out from a separate goroutine.
 func NewAsync(out io.Writer) *Async {
-	a := &Async{out: out, lines: make(chan []byte, asyncLines), closing: make(chan struct{})}
+	a := &Async{out: out, lines: make(chan []byte, asyncQueueLength), closing: make(chan struct{})}
 	a.done.Go(a.run)
 	return a
 }
 
-// Write implements io.Writer. It takes one line at a time.
+// Write implements io.Writer. Each call must write one line.
 func (a *Async) Write(line []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte(nil), line...):
@@ -40,26 +40,26 @@
 	return len(line), nil
 }
 
-// Dropped is the number of lines dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (a *Async) Dropped() uint64 { return a.dropped.Load() }
 
 func (a *Async) run() {
-	buffer := make([]byte, 0, asyncBatch)
+	buffer := make([]byte, 0, asyncBatchBytes)
 	for {
 		select {
 		case line := <-a.lines:
 			buffer = a.write(buffer, line)
 		case <-a.closing:
-			a.writeRest(buffer)
+			a.flush(buffer)
 			return
 		}
 	}
 }
 
-// write writes a line and those that wait behind it.
+// write writes a line and the lines queued behind it in one batch.
 func (a *Async) write(buffer, line []byte) []byte {
 	buffer = append(buffer[:0], line...)
-	for len(buffer) < asyncBatch {
+	for len(buffer) < asyncBatchBytes {
 		select {
 		case next := <-a.lines:
 			buffer = append(buffer, next...)
@@ -68,12 +68,13 @@
 		}
 		break
 	}
-	// Nothing can be done about a log that can't be written.
+	// Errors are ignored: there is no other place to report them.
 	_, _ = a.out.Write(buffer)
 	return buffer
 }
 
-func (a *Async) writeRest(buffer []byte) {
+// flush writes the queued lines.
+func (a *Async) flush(buffer []byte) {
 	for {
 		select {
 		case line := <-a.lines:
@@ -84,7 +85,8 @@
 	}
 }
 
-// Close writes what waits and ends the writer. Lines that come later are dropped.
+// Close writes the queued lines and stops the writer. Lines written later are
+// discarded.
 func (a *Async) Close() {
 	close(a.closing)
 	a.done.Wait()
--- a/pkg/logging/logging.go
+++ b/pkg/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging gives each layer of the program its own logger. A logger
-// writes one line of key=value pairs for each event.
+// Package logging provides a logger for each layer of the program. Loggers write
+// logfmt lines.
 package logging
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
-// DefaultLevel applies to each layer that the settings do not name.
+// DefaultLevel is the log level of layers without a configured level.
 const DefaultLevel = "info"
 
-// Logs makes the loggers of one process. Its zero value is not usable; call New.
+// Logs creates the loggers of a process. The zero value is not usable; call New.
 type Logs struct {
 	mu     sync.Mutex
 	out    io.Writer
@@ -22,24 +22,24 @@
 	layers map[string]*logrus.Entry
 }
 
-// New returns Logs that write to out. The map levels gives a level by layer; the
-// layer "default" applies to all others.
+// New returns Logs that write to out. levels maps layers to log levels; the entry
+// "default" applies to all other layers.
 func New(out io.Writer, levels map[string]string) (*Logs, error) {
 	for layer, level := range levels {
 		if _, err := logrus.ParseLevel(level); err != nil {
-			return nil, problem.Wrap(err, problem.Invalid, "use error, warn, info, debug or trace", "log level of layer %q is %q", layer, level)
+			return nil, problem.Wrap(err, problem.Invalid, "use error, warn, info, debug or trace", "log level of layer %q is invalid: %q", layer, level)
 		}
 	}
 	return &Logs{out: out, levels: levels, layers: map[string]*logrus.Entry{}}, nil
 }
 
-// Discard returns Logs that write nothing. Meant for tests and embedding.
+// Discard returns Logs that discard their output, for tests and embedding.
 func Discard() *Logs {
 	l, _ := New(io.Discard, nil)
 	return l
 }
 
-// For returns the logger of a layer; the same one at each call.
+// For returns the logger of a layer. Repeated calls return the same logger.
 func (l *Logs) For(layer string) *logrus.Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
