--- a/pkg/kernel/kernel.go
+++ b/pkg/kernel/kernel.go
@@ -1,6 +1,6 @@
-// Package kernel is the micro-kernel of a process: a registry of named services
-// that find each other by name, start in the order of their dependencies and stop
-// in the reverse order. A service that dies stops the process with its cause.
+// Package kernel is a service registry and lifecycle manager. Services look each other
+// up by name, start in dependency order and stop in reverse order. A service that
+// fails is reported on Died.
 package kernel
 
 import (
@@ -12,24 +12,24 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
-// Service is a part of a process with a life of its own.
+// Service is a component of a process with its own lifecycle.
 type Service interface {
-	// Start begins the service's work; goroutines run under t. It returns when
-	// the service can be used by those that depend on it.
+	// Start starts the service, with its goroutines under t. It returns when the
+	// service is ready for use by its dependents.
 	Start(k *Kernel, t *tomb.Tomb) error
-	// Stop is called before t is killed, for an orderly end. It may block for as
-	// long as the work in hand needs.
+	// Stop shuts the service down gracefully before t is killed. It may block until
+	// work in progress is finished.
 	Stop()
 }
 
 type entry struct {
 	name    string
-	needs   []string
+	deps    []string
 	service Service
 	tomb    *tomb.Tomb
 }
 
-// Kernel holds the services of one process. Its zero value is not usable; call New.
+// Kernel manages the services of a process. The zero value is not usable; call New.
 type Kernel struct {
 	mu      sync.Mutex
 	entries map[string]*entry
@@ -37,40 +37,40 @@
 	died    chan error
 }
 
-// New returns a kernel without services.
+// New returns an empty kernel.
 func New() *Kernel {
 	return &Kernel{entries: map[string]*entry{}, died: make(chan error, 1)}
 }
 
-// Register adds a service under a name that must be new, and the names of the
-// services that must be started before it.
-func (k *Kernel) Register(name string, s Service, needs ...string) error {
+// Register adds a service under a unique name. deps are the names of the services that
+// must be started before it.
+func (k *Kernel) Register(name string, s Service, deps ...string) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if _, ok := k.entries[name]; ok {
 		return problem.New(problem.Internal, "register each service once", "service %q is registered twice", name)
 	}
-	k.entries[name] = &entry{name: name, needs: needs, service: s}
+	k.entries[name] = &entry{name: name, deps: deps, service: s}
 	return nil
 }
 
-// Lookup returns the service of a name as type T.
+// Lookup returns the named service as type T.
 func Lookup[T any](k *Kernel, name string) (T, error) {
 	var zero T
 	k.mu.Lock()
 	e, ok := k.entries[name]
 	k.mu.Unlock()
 	if !ok {
-		return zero, problem.New(problem.Internal, "register the service before it is looked up", "no service %q", name)
+		return zero, problem.New(problem.Internal, "register the service before looking it up", "no service %q", name)
 	}
 	s, ok := e.service.(T)
 	if !ok {
-		return zero, problem.New(problem.Internal, "look it up by its own type", "service %q is a %T", name, e.service)
+		return zero, problem.New(problem.Internal, "look it up by its actual type", "service %q is a %T", name, e.service)
 	}
 	return s, nil
 }
 
-// Find sets target to the service of a name, as Lookup returns it.
+// Find sets target to the result of Lookup.
 func Find[T any](k *Kernel, name string, target *T) error {
 	found, err := Lookup[T](k, name)
 	if err == nil {
@@ -79,8 +79,8 @@
 	return err
 }
 
-// Start starts all services in the order of their dependencies. If one fails,
-// those already started are stopped and its error is returned.
+// Start starts all services in dependency order. If a service fails to start, the
+// services already started are stopped and its error is returned.
 func (k *Kernel) Start() error {
 	order, err := k.order()
 	if err != nil {
@@ -89,7 +89,7 @@
 	for _, e := range order {
 		if err := k.start(e); err != nil {
 			k.Stop()
-			return problem.Wrap(err, problem.KindOf(err), "", "service %q did not start", e.name)
+			return problem.Wrap(err, problem.KindOf(err), "", "service %q failed to start", e.name)
 		}
 	}
 	return nil
@@ -97,7 +97,7 @@
 
 func (k *Kernel) start(e *entry) error {
 	e.tomb = new(tomb.Tomb)
-	// A tomb whose last goroutine has ended counts as dead; this one keeps it alive.
+	// A tomb is dead once its last goroutine has returned; this goroutine keeps it alive.
 	e.tomb.Go(func() error {
 		<-e.tomb.Dying()
 		return nil
@@ -121,15 +121,15 @@
 		return
 	}
 	select {
-	case k.died <- problem.Wrap(err, problem.KindOf(err), "see the log lines of this service", "service %q died", e.name):
+	case k.died <- problem.Wrap(err, problem.KindOf(err), "see the log of this service", "service %q failed", e.name):
 	default:
 	}
 }
 
-// Died yields the cause when a service has died by itself.
+// Died returns a channel that receives the error of the first service that fails.
 func (k *Kernel) Died() <-chan error { return k.died }
 
-// Stop stops all started services, the last started first.
+// Stop stops all started services in reverse order.
 func (k *Kernel) Stop() {
 	k.mu.Lock()
 	started := k.started
@@ -142,8 +142,8 @@
 	}
 }
 
-// order sorts the services so that each comes after those it needs; services
-// without an order between them go by name.
+// order returns the services in dependency order. Independent services are ordered by
+// name.
 func (k *Kernel) order() ([]*entry, error) {
 	names := make([]string, 0, len(k.entries))
 	for name := range k.entries {
@@ -173,20 +173,20 @@
 	order   []*entry
 }
 
-func (s *sorter) visit(name, neededBy string) error {
+func (s *sorter) visit(name, dependent string) error {
 	e, ok := s.entries[name]
 	if !ok {
-		return problem.New(problem.Internal, "register it", "service %q needs %q, which is not registered", neededBy, name)
+		return problem.New(problem.Internal, "register it", "service %q depends on %q, which is not registered", dependent, name)
 	}
 	switch s.state[name] {
 	case visited:
 		return nil
 	case visiting:
-		return problem.New(problem.Internal, "break the cycle", "services %q and %q need each other", neededBy, name)
+		return problem.New(problem.Internal, "remove the cycle", "circular dependency between services %q and %q", dependent, name)
 	}
 	s.state[name] = visiting
-	for _, need := range e.needs {
-		if err := s.visit(need, name); err != nil {
+	for _, dep := range e.deps {
+		if err := s.visit(dep, name); err != nil {
 			return err
 		}
 	}
--- a/pkg/kernel/kernel_test.go
+++ b/pkg/kernel/kernel_test.go
@@ -16,7 +16,7 @@
 	RunSpecs(t, "kernel")
 }
 
-// recorder writes what happens to it into a shared log.
+// recorder appends its lifecycle calls to a shared log.
 type recorder struct {
 	name string
 	log  *[]string
@@ -50,13 +50,13 @@
 		log = nil
 	})
 
-	register := func(name string, fail error, needs ...string) *recorder {
+	register := func(name string, fail error, deps ...string) *recorder {
 		r := &recorder{name: name, log: &log, fail: fail, die: make(chan error, 1)}
-		Expect(k.Register(name, r, needs...)).To(Succeed())
+		Expect(k.Register(name, r, deps...)).To(Succeed())
 		return r
 	}
 
-	It("starts services after those they need, and stops them in reverse", func() {
+	It("starts services in dependency order and stops them in reverse", func() {
 		register("a", nil, "b", "c")
 		register("b", nil, "c")
 		register("c", nil)
@@ -65,18 +65,18 @@
 		Expect(log).To(Equal([]string{"start c", "start b", "start a", "stop a", "stop b", "stop c"}))
 	})
 
-	It("stops what it has started when one fails", func() {
+	It("stops the started services if one fails to start", func() {
 		register("a", nil)
-		register("b", errors.New("no luck"), "a")
-		Expect(k.Start()).To(MatchError(ContainSubstring(`"b" did not start: no luck`)))
+		register("b", errors.New("start error"), "a")
+		Expect(k.Start()).To(MatchError(ContainSubstring(`"b" failed to start: start error`)))
 		Expect(log).To(Equal([]string{"start a", "start b", "stop a"}))
 	})
 
-	It("refuses cycles, gaps and doubles", func() {
+	It("rejects circular, missing and duplicate services", func() {
 		register("a", nil, "b")
-		Expect(k.Start()).To(MatchError(ContainSubstring(`needs "b", which is not registered`)))
+		Expect(k.Start()).To(MatchError(ContainSubstring(`depends on "b", which is not registered`)))
 		register("b", nil, "a")
-		Expect(k.Start()).To(MatchError(ContainSubstring("need each other")))
+		Expect(k.Start()).To(MatchError(ContainSubstring("circular dependency")))
 		Expect(k.Register("a", &recorder{})).To(MatchError(ContainSubstring("twice")))
 	})
 
@@ -91,11 +91,11 @@
 		Expect(err).To(MatchError(ContainSubstring("is a *kernel_test.recorder")))
 	})
 
-	It("tells of a service that dies by itself", func() {
+	It("reports a service that fails", func() {
 		r := register("a", nil)
 		Expect(k.Start()).To(Succeed())
-		r.die <- errors.New("out of luck")
-		Eventually(k.Died()).Should(Receive(MatchError(ContainSubstring(`"a" died: out of luck`))))
+		r.die <- errors.New("run error")
+		Eventually(k.Died()).Should(Receive(MatchError(ContainSubstring(`"a" failed: run error`))))
 		k.Stop()
 	})
 })
