--- a/pkg/infra/etcdkv/etcdkv.go
+++ b/pkg/infra/etcdkv/etcdkv.go
@@ -1,6 +1,5 @@
-// Package etcdkv reaches a key-value service over etcd's published JSON gateway
-// (API v3: /v3/kv, /v3/lease, /v3/watch). Only compare-and-swap, leases and watches
-// are used.
+// Package etcdkv implements infra.KeyValue over etcd's JSON gateway (API v3: /v3/kv,
+// /v3/lease, /v3/watch).
 package etcdkv
 
 import (
@@ -20,13 +19,14 @@
 )
 
 const (
-	remedyService = "check the platform's key-value service; the system goes on with what it has in memory"
-	remedyUnknown = "ask again with the same id; the answer was lost and the change may have taken effect"
-	// maxAnswer bounds the bytes read of one answer: a value in base64 and its frame.
-	maxAnswer = 2*infra.MaxValue + 4096
+	remedyService = "check the platform's key-value service; the system continues with its in-memory state"
+	remedyUnknown = "retry with the same id; the response was lost and the change may have taken effect"
+	// maxResponse is the maximum size of a response in bytes: a base64 value and the
+	// enclosing message.
+	maxResponse = 2*infra.MaxValue + 4096
 )
 
-// Client is a infra.KeyValue. Safe for concurrent use.
+// Client is an infra.KeyValue. Safe for concurrent use.
 type Client struct {
 	base    string
 	timeout time.Duration
@@ -36,8 +36,8 @@
 
 var _ infra.KeyValue = (*Client)(nil)
 
-// New returns a client of the service at base, such as http://127.0.0.1:2379, each
-// of whose calls but Watch takes at most timeout.
+// New returns a client of the service at base, such as http://127.0.0.1:2379. timeout
+// applies to all calls except Watch.
 func New(base string, timeout time.Duration) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 16, DialContext: (&net.Dialer{Timeout: timeout}).DialContext}
 	return &Client{
@@ -105,7 +105,7 @@
 		return err
 	}
 	if resp.Result.TTL <= 0 {
-		return problem.New(problem.NotFound, "take a new lease", "lease %d has ended", lease)
+		return problem.New(problem.NotFound, "take a new lease", "lease %d has expired", lease)
 	}
 	return nil
 }
@@ -121,7 +121,7 @@
 	for {
 		var message watchResponse
 		if err := decoder.Decode(&message); err != nil {
-			return problem.Wrap(err, problem.Unavailable, remedyService, "watch of key %s broke", key)
+			return problem.Wrap(err, problem.Unavailable, remedyService, "watch of key %s failed", key)
 		}
 		for _, event := range message.Result.Events {
 			changed(infra.Value{Data: event.Kv.Value, Version: event.Kv.ModRevision})
@@ -129,22 +129,22 @@
 	}
 }
 
-// call makes one call. If the request may have reached the service and its answer
-// is not known, the problem is of kind lost.
+// call makes a call. If the request may have reached the service but its response is
+// not known, the problem is of kind lost.
 func (c *Client) call(ctx context.Context, path string, req, resp any, lost problem.Kind) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	answer, err := c.post(ctx, c.http, path, req, lost)
+	response, err := c.post(ctx, c.http, path, req, lost)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
+	defer response.Body.Close()
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
-		return problem.Wrap(err, lost, remedyFor(lost), "answer of %s broke off", path)
+		return problem.Wrap(err, lost, remedyFor(lost), "failed to read the response of %s", path)
 	}
 	if err := json.Unmarshal(data, resp); err != nil {
-		return problem.Wrap(err, lost, remedyFor(lost), "answer of %s does not parse", path)
+		return problem.Wrap(err, lost, remedyFor(lost), "failed to parse the response of %s", path)
 	}
 	return nil
 }
@@ -152,11 +152,11 @@
 func (c *Client) post(ctx context.Context, client *http.Client, path string, body any, lost problem.Kind) (*http.Response, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return nil, problem.Wrap(err, problem.Internal, "report this", "request of %s", path)
+		return nil, problem.Wrap(err, problem.Internal, "report this", "failed to encode the request to %s", path)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, bytes.NewReader(data))
 	if err != nil {
-		return nil, problem.Wrap(err, problem.Invalid, "correct platform.key_value in the settings", "address of %s", path)
+		return nil, problem.Wrap(err, problem.Invalid, "correct platform.key_value in the settings", "invalid address of %s", path)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := client.Do(req)
@@ -165,7 +165,7 @@
 		if notSent(err) {
 			kind = problem.Unavailable
 		}
-		return nil, problem.Wrap(err, kind, remedyFor(kind), "no answer of %s", path)
+		return nil, problem.Wrap(err, kind, remedyFor(kind), "request to %s failed", path)
 	}
 	if resp.StatusCode == http.StatusOK {
 		return resp, nil
@@ -174,13 +174,13 @@
 	return nil, statusProblem(resp.StatusCode, path, lost)
 }
 
-// statusProblem maps an HTTP status. 429 and 503 are refusals: nothing was done.
+// statusProblem maps an HTTP status to a problem. 429 and 503 mean that nothing was done.
 func statusProblem(status int, path string, lost problem.Kind) error {
 	kind := lost
 	if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
 		kind = problem.Unavailable
 	}
-	return problem.New(kind, remedyFor(kind), "%s answered status %d", path, status)
+	return problem.New(kind, remedyFor(kind), "%s returned status %d", path, status)
 }
 
 func remedyFor(kind problem.Kind) string {
@@ -190,7 +190,7 @@
 	return remedyService
 }
 
-// notSent tells whether err shows that no connection was made.
+// notSent reports whether err is a failure to connect.
 func notSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/pkg/infra/etcdkv/messages.go
+++ b/pkg/infra/etcdkv/messages.go
@@ -1,8 +1,7 @@
 package etcdkv
 
-// The messages of etcd's JSON gateway (API v3) that the adapter uses. The gateway
-// writes 64-bit numbers as strings and bytes as base64, which encoding/json does
-// for []byte.
+// The messages of etcd's JSON gateway (API v3) used by the adapter. The gateway
+// encodes 64-bit integers as strings and bytes as base64.
 
 type keyValue struct {
 	Key         []byte `json:"key"`
--- a/pkg/infra/httpsd/httpsd.go
+++ b/pkg/infra/httpsd/httpsd.go
@@ -25,7 +25,7 @@
 	LabelChecksTokens  = "checks_tokens"
 )
 
-// maxList bounds the bytes of a list: 300 for each of 50,000 instances.
+// maxList is the maximum size of a list in bytes.
 const maxList = 15 << 20
 
 // Group is one element of the list.
@@ -34,13 +34,13 @@
 	Labels  map[string]string `json:"labels"`
 }
 
-// Client is a infra.InstanceList. List must not be called by two goroutines at once.
+// Client is an infra.InstanceList. List is not safe for concurrent use.
 type Client struct {
 	url     string
 	timeout time.Duration
 	http    *http.Client
-	// tag is the entity tag of the list that was read last.
-	tag string
+	// etag is the entity tag of the last list.
+	etag string
 }
 
 var _ infra.InstanceList = (*Client)(nil)
@@ -53,35 +53,34 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// List implements infra.InstanceList. An unchanged list is not sent again if the
-// service gives entity tags. Entries that do not name an address and a state
-// correctly are left out, since one bad entry must not take the others with it.
+// List implements infra.InstanceList. It makes a conditional request if the service
+// supports entity tags. Entries with an invalid address or state are skipped.
 func (c *Client) List(ctx context.Context) (entries []infra.Listed, unchanged bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
-		return nil, false, problem.Wrap(err, problem.Invalid, "correct platform.instance_list in the settings", "address of the instance list")
+		return nil, false, problem.Wrap(err, problem.Invalid, "correct platform.instance_list in the settings", "invalid address of the instance list")
 	}
-	if c.tag != "" {
-		req.Header.Set("If-None-Match", c.tag)
+	if c.etag != "" {
+		req.Header.Set("If-None-Match", c.etag)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, false, problem.Wrap(err, problem.Unavailable, "check the platform's instance list", "instance list not read")
+		return nil, false, problem.Wrap(err, problem.Unavailable, "check the platform's instance list", "failed to fetch the instance list")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusNotModified {
 		return nil, true, nil
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, false, problem.New(problem.Unavailable, "check the platform's instance list", "instance list answered status %d", resp.StatusCode)
+		return nil, false, problem.New(problem.Unavailable, "check the platform's instance list", "instance list returned status %d", resp.StatusCode)
 	}
 	var groups []Group
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxList)).Decode(&groups); err != nil {
-		return nil, false, problem.Wrap(err, problem.Unavailable, "check the platform's instance list", "instance list does not parse")
+		return nil, false, problem.Wrap(err, problem.Unavailable, "check the platform's instance list", "failed to parse the instance list")
 	}
-	c.tag = resp.Header.Get("ETag")
+	c.etag = resp.Header.Get("ETag")
 	return convert(groups), false, nil
 }
 
