--- a/pkg/packed/packed.go
+++ b/pkg/packed/packed.go
@@ -1,4 +1,4 @@
-// Package packed compresses what many instances take from each other.
+// Package packed compresses data exchanged between instances.
 package packed
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrTooLarge says that bytes unpack to more than was allowed.
-var ErrTooLarge = errors.New("it unpacks to more than is allowed")
+// ErrTooLarge means that the decompressed data exceeds the limit.
+var ErrTooLarge = errors.New("decompressed data exceeds the limit")
 
-// Pack returns bytes compressed with gzip, at the speed that costs the least processor time.
+// Pack compresses data with gzip at the fastest level.
 func Pack(data []byte) ([]byte, error) {
 	var packed bytes.Buffer
 	writer, err := gzip.NewWriterLevel(&packed, gzip.BestSpeed)
@@ -28,17 +28,18 @@
 	return packed.Bytes(), nil
 }
 
-// Unpack returns what was packed, if it is at most so many bytes; else ErrTooLarge.
-func Unpack(packed []byte, most int64) ([]byte, error) {
+// Unpack decompresses data from Pack. It fails with ErrTooLarge if the result is larger
+// than limit bytes.
+func Unpack(packed []byte, limit int64) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, err
 	}
-	data, err := io.ReadAll(io.LimitReader(reader, most+1))
+	data, err := io.ReadAll(io.LimitReader(reader, limit+1))
 	if err != nil {
 		return nil, err
 	}
-	if int64(len(data)) > most {
+	if int64(len(data)) > limit {
 		return nil, ErrTooLarge
 	}
 	return data, nil
--- a/pkg/packed/packed_test.go
+++ b/pkg/packed/packed_test.go
@@ -9,25 +9,25 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/packed"
 )
 
-func TestWhatIsPackedUnpacksWithinItsBound(t *testing.T) {
+func TestRoundTripWithinLimit(t *testing.T) {
 	data := bytes.Repeat([]byte("endpoint "), 1000)
-	small, err := packed.Pack(data)
+	compressed, err := packed.Pack(data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(small) >= len(data)/10 {
-		t.Errorf("%d bytes are packed into %d", len(data), len(small))
+	if len(compressed) >= len(data)/10 {
+		t.Errorf("compressed %d bytes to %d", len(data), len(compressed))
 	}
-	got, err := packed.Unpack(small, int64(len(data)))
+	got, err := packed.Unpack(compressed, int64(len(data)))
 	if err != nil || !bytes.Equal(got, data) {
-		t.Errorf("%d bytes unpacked, %v", len(got), err)
+		t.Errorf("decompressed %d bytes, error %v", len(got), err)
 	}
-	if _, err := packed.Unpack(small, int64(len(data))-1); !errors.Is(err, packed.ErrTooLarge) {
-		t.Errorf("one byte too many: %v", err)
+	if _, err := packed.Unpack(compressed, int64(len(data))-1); !errors.Is(err, packed.ErrTooLarge) {
+		t.Errorf("one byte over the limit: %v", err)
 	}
-	for _, damaged := range [][]byte{nil, []byte("plain"), small[:len(small)/2]} {
-		if _, err := packed.Unpack(damaged, int64(len(data))); err == nil || errors.Is(err, packed.ErrTooLarge) {
-			t.Errorf("%d damaged bytes: %v", len(damaged), err)
+	for _, corrupt := range [][]byte{nil, []byte("plain"), compressed[:len(compressed)/2]} {
+		if _, err := packed.Unpack(corrupt, int64(len(data))); err == nil || errors.Is(err, packed.ErrTooLarge) {
+			t.Errorf("%d corrupt bytes: %v", len(corrupt), err)
 		}
 	}
 }
