--- a/pkg/account/account.go
+++ b/pkg/account/account.go
@@ -1,6 +1,5 @@
-// Package account sums up the logs of gateways for who is on call: what became of requests and how
-// long those were held that were not served, how good forecasts were, what the stage endpoints
-// did, who asked the source and why, and who decided on owners.
+// Package account summarises gateway logs for operators: request outcomes and latencies, stage
+// planning, stage calls and the accuracy of their estimates, source calls, and ownership changes.
 package account
 
 import (
@@ -15,20 +14,18 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
-// served is the outcome of a request that got its endpoint's answer.
+// served is the outcome of a request that was answered by its endpoint.
 const served = "answered"
 
-// Account sums log lines up. Not safe for concurrent use.
+// Account aggregates log lines. Not safe for concurrent use.
 type Account struct {
-	// requests are by route and outcome, plans by what became of them, calls by service, asked by
-	// what the source was asked for, and decisions by what was decided and why.
-	requests  map[requestKey]*sample
-	plans     map[string]*sample
-	calls     map[string]*stageCalls
-	asked     map[sourceKey]*sample
-	decisions map[decisionKey]*sample
-	// unread counts the lines that are no pairs.
-	unread int
+	requests    map[requestKey]*sample
+	plans       map[string]*sample     // by reason
+	calls       map[string]*stageCalls // by service
+	sourceCalls map[sourceKey]*sample
+	decisions   map[decisionKey]*sample
+	// malformed is the number of lines that are not logfmt.
+	malformed int
 }
 
 type requestKey struct{ route, outcome string }
@@ -37,7 +34,7 @@
 
 type decisionKey struct{ event, cause string }
 
-// stageCalls sums up the calls to the endpoints of one service.
+// stageCalls aggregates the calls to the endpoints of a service.
 type stageCalls struct {
 	took     sample
 	pieces   int
@@ -47,36 +44,35 @@
 	expected time.Duration
 }
 
-// New returns an account of nothing.
+// New returns an empty account.
 func New() *Account {
 	return &Account{
-		requests:  map[requestKey]*sample{},
-		plans:     map[string]*sample{},
-		calls:     map[string]*stageCalls{},
-		asked:     map[sourceKey]*sample{},
-		decisions: map[decisionKey]*sample{},
+		requests:    map[requestKey]*sample{},
+		plans:       map[string]*sample{},
+		calls:       map[string]*stageCalls{},
+		sourceCalls: map[sourceKey]*sample{},
+		decisions:   map[decisionKey]*sample{},
 	}
 }
 
-// maxLine bounds a line in bytes.
+// maxLine is the maximum length of a line in bytes.
 const maxLine = 1 << 20
 
-// Read takes in the lines of one log or of several together. What precedes the first pair of a
-// line, such as the name of its instance, is passed over; so are lines that do not parse, which
-// are counted.
+// Read adds the lines of one or more logs. Text before the first key-value pair of a line, such as
+// a prefix from a log collector, is ignored. Malformed lines are skipped and counted.
 func (a *Account) Read(r io.Reader) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLine)
 	for lines.Scan() {
 		line, err := parse(lines.Bytes())
 		if err != nil {
-			a.unread++
+			a.malformed++
 			continue
 		}
 		a.add(line)
 	}
 	if err := lines.Err(); err != nil {
-		return problem.Wrap(err, problem.Invalid, "give a readable log with lines of up to a megabyte", "a log cannot be read")
+		return problem.Wrap(err, problem.Invalid, "give a readable log with lines of up to a megabyte", "failed to read log")
 	}
 	return nil
 }
@@ -92,10 +88,10 @@
 	return line, decoder.Err()
 }
 
-// fields are the pairs of one line.
+// fields holds the key-value pairs of a line.
 type fields map[string]string
 
-// ms is a field in milliseconds; 0 if there is none.
+// ms returns a field in milliseconds as a duration; 0 if it is missing.
 func (f fields) ms(name string) time.Duration {
 	return time.Duration(f.number(name)) * time.Millisecond
 }
@@ -108,17 +104,17 @@
 	return n
 }
 
-// add takes one line in.
+// add aggregates a line.
 func (a *Account) add(line fields) {
 	switch event := line["event"]; event {
 	case "request":
-		at(a.requests, requestKey{line["route"], line["outcome"]}).add(line.ms("ms"))
+		sampleOf(a.requests, requestKey{line["route"], line["outcome"]}).add(line.ms("ms"))
 	case "stages":
 		reason := line["reason"]
 		if reason == "" {
 			reason = "made"
 		}
-		at(a.plans, reason).add(line.ms("ms"))
+		sampleOf(a.plans, reason).add(line.ms("ms"))
 	case "stage_call":
 		a.addCall(line)
 	case "source_call", "source_call_failed":
@@ -126,9 +122,9 @@
 		if event == "source_call_failed" {
 			call += " failed"
 		}
-		at(a.asked, sourceKey{line["of"], call}).add(line.ms("ms"))
+		sampleOf(a.sourceCalls, sourceKey{line["of"], call}).add(line.ms("ms"))
 	case "owner", "division":
-		at(a.decisions, decisionKey{event, line["cause"]}).add(0)
+		sampleOf(a.decisions, decisionKey{event, line["cause"]}).add(0)
 	}
 }
 
@@ -149,8 +145,8 @@
 	}
 }
 
-// at returns the sample of a key, a new one if there is none.
-func at[K comparable](samples map[K]*sample, key K) *sample {
+// sampleOf returns the sample of a key, creating it if necessary.
+func sampleOf[K comparable](samples map[K]*sample, key K) *sample {
 	s := samples[key]
 	if s == nil {
 		s = &sample{}
--- a/pkg/account/account_test.go
+++ b/pkg/account/account_test.go
@@ -15,7 +15,7 @@
 	RunSpecs(t, "account")
 }
 
-// lines are as instances write them, some behind the time and name that a collector adds.
+// lines is a sample log, partly with the prefix of a log collector.
 const lines = `12.031 sala-a-1 time="2026-01-01T00:00:00.000Z" level=info event=request id=1 route=alert outcome=answered status=200 ms=40
 time="2026-01-01T00:00:00.000Z" level=info event=request id=2 route=alert outcome=busy status=503 ms=3
 12.032 sala-a-2 time="2026-01-01T00:00:00.000Z" level=info event=request id=3 route=alert outcome=pieces_not_made status=503 ms=5993
@@ -31,7 +31,7 @@
 event="not ended
 `
 
-var _ = Describe("an account of logs", func() {
+var _ = Describe("a log account", func() {
 	report := func(text string) []string {
 		GinkgoHelper()
 		a := account.New()
@@ -45,7 +45,7 @@
 		return rows
 	}
 
-	It("tells what became of requests, and of what they waited for", func() {
+	It("summarises requests, stages and source calls", func() {
 		Expect(report(lines)).To(ContainElements(
 			"alert answered 1 0.333 40 40",
 			"alert busy 1 0.333 3 3 not served",
@@ -61,11 +61,11 @@
 		))
 	})
 
-	It("has headings alone for logs of nothing", func() {
+	It("has only headings for empty logs", func() {
 		Expect(report("")).To(HaveLen(12))
 	})
 
-	It("names a remedy for what is no log", func() {
+	It("returns a remedy for an unreadable log", func() {
 		err := account.New().Read(strings.NewReader(strings.Repeat("x", 2<<20)))
 		Expect(err).To(MatchError(ContainSubstring("lines of up to a megabyte")))
 	})
--- a/pkg/account/report.go
+++ b/pkg/account/report.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// tail is the quantile that reports give beside the median.
+// tail is the tail latency quantile in reports.
 const tail = 0.99
 
-// Write writes the account as tables. Times are in milliseconds.
+// Write writes the account as tables, with durations in milliseconds.
 func (a *Account) Write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	a.writeRequests(t)
 	a.writePlans(t)
 	a.writeCalls(t)
-	a.writeAsked(t)
+	a.writeSourceCalls(t)
 	a.writeDecisions(t)
-	row(t, "\nlines that do not parse:", a.unread)
+	row(t, "\nlines that do not parse:", a.malformed)
 	return t.Flush()
 }
 
@@ -62,13 +62,13 @@
 	}
 }
 
-func (a *Account) writeAsked(w io.Writer) {
+func (a *Account) writeSourceCalls(w io.Writer) {
 	row(w, "\nSOURCE ASKED FOR", "BY A", "CALLS", "MEDIAN MS", "P99 MS")
-	keys := slices.SortedFunc(maps.Keys(a.asked), func(x, y sourceKey) int {
+	keys := slices.SortedFunc(maps.Keys(a.sourceCalls), func(x, y sourceKey) int {
 		return cmp.Or(cmp.Compare(x.of, y.of), cmp.Compare(x.call, y.call))
 	})
 	for _, key := range keys {
-		s := a.asked[key]
+		s := a.sourceCalls[key]
 		row(w, key.of, key.call, s.count(), ms(s.quantile(0.5)), ms(s.quantile(tail)))
 	}
 }
@@ -83,7 +83,7 @@
 	}
 }
 
-// row writes one line of a table. What can't be written shows when the table is flushed.
+// row writes a table row. Write errors are reported by Flush.
 func row(w io.Writer, cells ...any) {
 	texts := make([]string, len(cells))
 	for i, cell := range cells {
@@ -92,7 +92,7 @@
 	_, _ = fmt.Fprintln(w, strings.Join(texts, "\t"))
 }
 
-// counts writes how often each reason was given, the most frequent first.
+// counts formats the number of occurrences of each reason, most frequent first.
 func counts(reasons map[string]int) string {
 	keys := slices.SortedFunc(maps.Keys(reasons), func(x, y string) int {
 		return cmp.Or(cmp.Compare(reasons[y], reasons[x]), cmp.Compare(x, y))
