--- a/pkg/trace/fleet.go
+++ b/pkg/trace/fleet.go
@@ -7,23 +7,23 @@
 	"github.com/cobaltcroft/cobaltcroft/pkg/standin"
 )
 
-// ServiceSize is a service of a fleet with its number of endpoints.
+// ServiceSize is a service of a fleet and its size.
 type ServiceSize struct {
 	Name      string
 	Kind      config.StageKind
 	Endpoints int
-	// Concurrency is how many calls one endpoint runs at once.
+	// Concurrency is the number of concurrent calls per endpoint.
 	Concurrency int
-	// MeanMs is the usual time of a call, in milliseconds.
+	// MeanMs is the mean service time of a call, in milliseconds.
 	MeanMs float64
 }
 
-// Fleet is one of the users' fleets at today's sizes.
+// Fleet is a sample fleet.
 type Fleet struct {
 	Name     string
 	Domains  []string
 	Services []ServiceSize
-	// Pipelines: the first is the fleet's main one.
+	// Pipelines holds the fleet's main pipeline first.
 	Pipelines     []config.Pipeline
 	Organisations []config.Organisation
 }
@@ -41,7 +41,7 @@
 	return config.Stage{Name: name, Kind: kind, Service: service}
 }
 
-// Fleets returns both fleets.
+// Fleets returns the sample fleets.
 func Fleets() []Fleet {
 	return []Fleet{
 		{
@@ -89,7 +89,7 @@
 	}
 }
 
-// organisations makes the first two large.
+// organisations returns the named organisations, the first two with a higher weight.
 func organisations(names ...string) []config.Organisation {
 	var list []config.Organisation
 	for i, name := range names {
@@ -120,7 +120,7 @@
 // EndpointName returns the name of the i-th endpoint of a service, from 0.
 func EndpointName(service string, i int) string { return fmt.Sprintf("%s-%d", service, i) }
 
-// Site returns stand-ins for the fleet.
+// Site returns the settings of stand-ins for the fleet.
 func (f Fleet) Site() standin.SiteSettings {
 	s := standin.SiteSettings{ListLagMs: 500}
 	for _, service := range f.Services {
@@ -148,7 +148,7 @@
 	return ServiceSize{}
 }
 
-// capacity is how many requests a second a pipeline's narrowest service can run.
+// capacity returns the throughput of a pipeline's bottleneck service, in requests per second.
 func (f Fleet) capacity(p config.Pipeline) float64 {
 	least := 0.0
 	for _, stage := range p.Stages {
--- a/pkg/trace/generate.go
+++ b/pkg/trace/generate.go
@@ -29,23 +29,23 @@
 const (
 	// lengthMs is the length of each trace, in milliseconds.
 	lengthMs = 2400
-	// spread is the standard deviation of the logarithm of a service time.
-	spread = 0.25
+	// logStdDev is the standard deviation of the logarithm of a service time.
+	logStdDev = 0.25
 )
 
-// load is a stream of requests at a rate between two times.
+// load is a stream of requests with a constant rate over an interval.
 type load struct {
-	pipeline       int
-	perSecond      float64
-	fromMs, toMs   float64
-	organisation   string // empty: any, by weight
-	prefixes       int    // 0: none
-	stretchedStage string
-	stretch        float64
+	pipeline     int
+	perSecond    float64
+	fromMs, toMs float64
+	organisation string // empty: random, by weight
+	prefixes     int    // 0: no prompt prefixes
+	slowStage    string
+	slowdown     float64
 }
 
-// recipe makes one trace.
-type recipe struct {
+// scenario describes how a trace is generated.
+type scenario struct {
 	name     string
 	about    string
 	expected Expected
@@ -53,7 +53,7 @@
 	switches func(f Fleet) []Entry
 }
 
-func whole(pipeline int, perSecond float64) load {
+func constant(pipeline int, perSecond float64) load {
 	return load{pipeline: pipeline, perSecond: perSecond, toMs: lengthMs}
 }
 
@@ -62,42 +62,42 @@
 	return l
 }
 
-var recipes = []recipe{
+var scenarios = []scenario{
 	{
 		name: Steady, about: "both pipelines well under capacity",
 		expected: Expected{MinAttainment: 0.98, MinMargin: 0, MaxWasteRatio: 1},
 		loads: func(_ Fleet, capacity, narrow float64) []load {
-			return []load{whole(0, 0.55*capacity), whole(1, 0.15*narrow)}
+			return []load{constant(0, 0.55*capacity), constant(1, 0.15*narrow)}
 		},
 	},
 	{
 		name: DawnBurst, about: "the main pipeline at twice the capacity of generation for a second and a half",
 		expected: Expected{MinAttainment: 0.55, MinMargin: 0.08, MaxWasteRatio: 0.34},
 		loads: func(_ Fleet, capacity, narrow float64) []load {
-			return []load{during(whole(0, 0.4*capacity), 0, 500), during(whole(0, 2*capacity), 500, 2000), during(whole(0, 0.4*capacity), 2000, lengthMs), whole(1, 0.1*narrow)}
+			return []load{during(constant(0, 0.4*capacity), 0, 500), during(constant(0, 2*capacity), 500, 2000), during(constant(0, 0.4*capacity), 2000, lengthMs), constant(1, 0.1*narrow)}
 		},
 	},
 	{
 		name: ComplaintWave, about: "the short pipeline at one and a half times the capacity of encoders and rerankers",
 		expected: Expected{MinAttainment: 0.55, MinMargin: 0.1, MaxWasteRatio: 0.34},
 		loads: func(_ Fleet, capacity, narrow float64) []load {
-			return []load{whole(0, 0.3*capacity), during(whole(1, 1.5*narrow), 300, 2000)}
+			return []load{constant(0, 0.3*capacity), during(constant(1, 1.5*narrow), 300, 2000)}
 		},
 	},
 	{
 		name: SlowStage, about: "reranking takes six times as long from half a second on",
 		expected: Expected{MinAttainment: 0.45, MinMargin: 0.1, MaxWasteRatio: 0.34},
 		loads: func(_ Fleet, capacity, _ float64) []load {
-			slow := during(whole(0, 0.9*capacity), 500, lengthMs)
-			slow.stretchedStage, slow.stretch = "rerank", 6
-			return []load{during(whole(0, 0.9*capacity), 0, 500), slow}
+			slow := during(constant(0, 0.9*capacity), 500, lengthMs)
+			slow.slowStage, slow.slowdown = "rerank", 6
+			return []load{during(constant(0, 0.9*capacity), 0, 500), slow}
 		},
 	},
 	{
 		name: SlowEndpoint, about: "one engine and one encoder answer ten times slower",
 		expected: Expected{MinAttainment: 0.9, MinMargin: 0.01, MaxWasteRatio: 1},
 		loads: func(_ Fleet, capacity, narrow float64) []load {
-			return []load{whole(0, 0.75*capacity), whole(1, 0.15*narrow)}
+			return []load{constant(0, 0.75*capacity), constant(1, 0.15*narrow)}
 		},
 		switches: func(f Fleet) []Entry {
 			slow := standin.EndpointState{Faults: standin.EndpointFaults{Slow: 10}}
@@ -108,7 +108,7 @@
 		name: DyingEndpoints, about: "half the retrieval endpoints and a fifth of the engines die and come back",
 		expected: Expected{MinAttainment: 0.95, MinMargin: 0, MaxWasteRatio: 1},
 		loads: func(_ Fleet, capacity, _ float64) []load {
-			return []load{whole(0, 0.7*capacity)}
+			return []load{constant(0, 0.7*capacity)}
 		},
 		switches: func(f Fleet) []Entry {
 			dying := slices.Concat(f.names(config.Retrieval, f.service(config.Retrieval).Endpoints/2), f.names(config.Generation, f.service(config.Generation).Endpoints/5))
@@ -119,7 +119,7 @@
 		name: DomainCut, about: "all endpoints of one failure domain are out of reach for a second",
 		expected: Expected{MinAttainment: 0.95, MinMargin: 0.02, MaxWasteRatio: 1},
 		loads: func(_ Fleet, capacity, _ float64) []load {
-			return []load{whole(0, 0.75*capacity)}
+			return []load{constant(0, 0.75*capacity)}
 		},
 		switches: func(f Fleet) []Entry {
 			lost := f.inDomain(len(f.Domains) - 1)
@@ -130,16 +130,16 @@
 		name: Flood, about: "one large organisation asks ten times its share",
 		expected: Expected{MinAttainment: 0.45, MinMargin: 0.08, MaxWasteRatio: 0.34, MinOthersAttainment: 0.95},
 		loads: func(f Fleet, capacity, _ float64) []load {
-			flooding := during(whole(0, 1.6*capacity), 400, lengthMs)
+			flooding := during(constant(0, 1.6*capacity), 400, lengthMs)
 			flooding.organisation = f.Organisations[0].Name
-			return []load{whole(0, 0.4*capacity), flooding}
+			return []load{constant(0, 0.4*capacity), flooding}
 		},
 	},
 	{
 		name: StaleReports, about: "the endpoints' load reports are two seconds old, at a load that swings",
 		expected: Expected{MinAttainment: 0.98, MinMargin: 0, MaxWasteRatio: 1},
 		loads: func(_ Fleet, capacity, _ float64) []load {
-			return []load{during(whole(0, 1.3*capacity), 0, 500), during(whole(0, 0.5*capacity), 500, 1200), during(whole(0, 1.3*capacity), 1200, 1700), during(whole(0, 0.5*capacity), 1700, lengthMs)}
+			return []load{during(constant(0, 1.3*capacity), 0, 500), during(constant(0, 0.5*capacity), 500, 1200), during(constant(0, 1.3*capacity), 1200, 1700), during(constant(0, 0.5*capacity), 1700, lengthMs)}
 		},
 		switches: func(f Fleet) []Entry {
 			stale := standin.EndpointState{Faults: standin.EndpointFaults{StaleLoadMs: 2000}}
@@ -150,7 +150,7 @@
 		name: PrefixReuse, about: "prompts share a few dozen prefixes, at just over capacity without reuse",
 		expected: Expected{MinAttainment: 0.88, MinMargin: -0.03, MaxWasteRatio: 1},
 		loads: func(_ Fleet, capacity, _ float64) []load {
-			l := whole(0, 1.1*capacity)
+			l := constant(0, 1.1*capacity)
 			l.prefixes = 48
 			return []load{l}
 		},
@@ -160,7 +160,7 @@
 // Names returns the names of all traces.
 func Names() []string {
 	var names []string
-	for _, r := range recipes {
+	for _, r := range scenarios {
 		names = append(names, r.name)
 	}
 	return names
@@ -191,10 +191,10 @@
 	return names
 }
 
-// Generate makes all traces of a fleet; the same at each call.
+// Generate generates all traces of a fleet. It is deterministic.
 func Generate(f Fleet) []*Trace {
 	var traces []*Trace
-	for _, r := range recipes {
+	for _, r := range scenarios {
 		seed := fnv.New64a()
 		_, _ = seed.Write([]byte(f.Name + r.name))
 		g := &generator{fleet: f, random: rand.New(rand.NewPCG(seed.Sum64(), 1))}
@@ -208,7 +208,7 @@
 	random *rand.Rand
 }
 
-func (g *generator) trace(r recipe) *Trace {
+func (g *generator) trace(r scenario) *Trace {
 	t := &Trace{Header: Header{Fleet: g.fleet.Name, Name: r.name, About: r.about, Expected: r.expected}}
 	if r.switches != nil {
 		t.Entries = r.switches(g.fleet)
@@ -222,7 +222,7 @@
 	return t
 }
 
-// requests of a load come as a Poisson process.
+// requests generates the requests of a load as a Poisson process.
 func (g *generator) requests(l load) []Entry {
 	var entries []Entry
 	for ms := l.fromMs + g.gap(l); ms < l.toMs; ms += g.gap(l) {
@@ -244,17 +244,17 @@
 	}
 	for _, stage := range pipeline.Stages {
 		mean := g.fleet.service(stage.Kind).MeanMs
-		// The mean of a logarithmic normal distribution is above its median.
-		ms := mean * math.Exp(spread*g.random.NormFloat64()-spread*spread/2)
-		if stage.Name == l.stretchedStage {
-			ms *= l.stretch
+		// Subtracting half the variance makes mean the mean of the log-normal distribution.
+		ms := mean * math.Exp(logStdDev*g.random.NormFloat64()-logStdDev*logStdDev/2)
+		if stage.Name == l.slowStage {
+			ms *= l.slowdown
 		}
 		r.WorkMs[stage.Name] = round(ms)
 	}
 	return r
 }
 
-// organisation returns one by weight.
+// organisation returns a random organisation, by weight.
 func (g *generator) organisation() string {
 	total := uint32(0)
 	for _, o := range g.fleet.Organisations {
--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -1,6 +1,5 @@
-// Package trace has the format of recorded traces, and makes the sample traces of
-// both fleets. A trace is a file of JSON lines: a header, then entries in the order
-// of their times.
+// Package trace defines the trace format and generates the sample traces. A trace is a
+// JSON Lines file with a header and entries in chronological order.
 package trace
 
 import (
@@ -17,48 +16,47 @@
 type Header struct {
 	Fleet string `json:"fleet"`
 	Name  string `json:"trace"`
-	// What happens in the trace, for people.
+	// About describes the trace.
 	About string `json:"about"`
-	// Expected is what a replay of the decisions alone, without processes, must
-	// reach.
+	// Expected holds the results that a simulated replay must reach.
 	Expected Expected `json:"expected"`
 }
 
-// Expected are the stated outcomes of a trace.
+// Expected holds the thresholds for the results of a trace.
 type Expected struct {
-	// MinAttainment is the least share of requests answered whole in time.
+	// MinAttainment is the minimum share of requests completely answered in time.
 	MinAttainment float64 `json:"min_attainment"`
-	// MinMargin is the least that attainment must be above the best simple policy's
-	// on the same trace; below zero where a simple policy may be a little better.
+	// MinMargin is the minimum difference to the attainment of the best baseline
+	// policy on the same trace. It may be negative.
 	MinMargin float64 `json:"min_margin"`
-	// MaxWasteRatio bounds the share of endpoint time spent in vain, as a part of
-	// the most thrifty simple policy's.
+	// MaxWasteRatio is the maximum share of wasted endpoint time, relative to that of
+	// the least wasteful baseline policy.
 	MaxWasteRatio float64 `json:"max_waste_ratio"`
-	// MinOthersAttainment is the least attainment of the organisations that do not
-	// flood; 0 where none does.
+	// MinOthersAttainment is the minimum attainment of the organisations other than
+	// the flooding one; 0 if there is none.
 	MinOthersAttainment float64 `json:"min_others_attainment,omitempty"`
 }
 
-// Entry is one line: a request, or a change of an endpoint's state.
+// Entry is a line of a trace: a request or a change of endpoint states.
 type Entry struct {
-	// AtMs is the time since the start, in milliseconds.
+	// AtMs is the time since the start of the trace, in milliseconds.
 	AtMs    float64  `json:"at_ms"`
 	Request *Request `json:"request,omitempty"`
 	Switch  *Switch  `json:"switch,omitempty"`
 }
 
-// Request of a trace. Service times come with it, so that policies differ by their
-// decisions alone.
+// Request is a request of a trace. It includes the service times, so that they do not
+// depend on the policy.
 type Request struct {
 	Pipeline       string `json:"pipeline"`
 	Organisation   string `json:"organisation"`
 	Priority       string `json:"priority,omitempty"`
 	PromptCacheKey string `json:"prompt_cache_key,omitempty"`
-	// WorkMs is the time of each stage at an endpoint, in milliseconds.
+	// WorkMs is the service time of each stage, in milliseconds.
 	WorkMs map[string]float64 `json:"work_ms"`
 }
 
-// Switch changes endpoints' states.
+// Switch sets the state of endpoints.
 type Switch struct {
 	Endpoints []string              `json:"endpoints"`
 	State     standin.EndpointState `json:"state"`
@@ -67,13 +65,13 @@
 // At returns the entry's time since the start.
 func (e Entry) At() time.Duration { return time.Duration(e.AtMs * float64(time.Millisecond)) }
 
-// Trace is a whole trace.
+// Trace is a parsed trace.
 type Trace struct {
 	Header  Header
 	Entries []Entry
 }
 
-// maxLine bounds a line, in bytes.
+// maxLine is the maximum length of a line in bytes.
 const maxLine = 1 << 20
 
 // Read reads a trace.
@@ -82,14 +80,14 @@
 	lines.Buffer(nil, maxLine)
 	t := &Trace{}
 	for n := 1; lines.Scan(); n++ {
-		if err := t.line(n, lines.Bytes()); err != nil {
-			return nil, problem.Wrap(err, problem.Invalid, "make the traces again with 'cobaltcroft-load traces'", "trace line %d does not parse", n)
+		if err := t.parseLine(n, lines.Bytes()); err != nil {
+			return nil, problem.Wrap(err, problem.Invalid, "generate the traces again with 'cobaltcroft-load traces'", "failed to parse trace line %d", n)
 		}
 	}
 	return t, lines.Err()
 }
 
-func (t *Trace) line(n int, data []byte) error {
+func (t *Trace) parseLine(n int, data []byte) error {
 	if n == 1 {
 		return json.Unmarshal(data, &t.Header)
 	}
