--- a/pkg/config/configuration.go
+++ b/pkg/config/configuration.go
@@ -41,9 +41,9 @@
 	Operations []Operation `json:"operations,omitempty"`
 }
 
-// Accepted is the record of an accepted change, kept for the history and for
+// AcceptedChange is the record of an accepted change, kept for the history and for
 // deduplication of retries.
-type Accepted struct {
+type AcceptedChange struct {
 	ID       string   `json:"id"`
 	Author   string   `json:"author"`
 	TimeMs   int64    `json:"time_ms"`
@@ -67,7 +67,7 @@
 	// not modify are shared with the previous configuration.
 	objects map[Kind]map[string]Stored
 	// accepted holds the last HistoryLength changes, oldest first.
-	accepted []Accepted
+	accepted []AcceptedChange
 }
 
 // HistoryLength is the number of changes kept for the history and for
@@ -162,16 +162,16 @@
 }
 
 // Accepted returns the retained changes, oldest first. The caller must not modify the slice.
-func (c *Configuration) Accepted() []Accepted { return c.accepted }
+func (c *Configuration) Accepted() []AcceptedChange { return c.accepted }
 
 // FindChange returns the retained change with the given ID.
-func (c *Configuration) FindChange(id string) (Accepted, bool) {
+func (c *Configuration) FindChange(id string) (AcceptedChange, bool) {
 	for i := len(c.accepted) - 1; i >= 0; i-- {
 		if c.accepted[i].ID == id {
 			return c.accepted[i], true
 		}
 	}
-	return Accepted{}, false
+	return AcceptedChange{}, false
 }
 
 // Check validates a change against c and returns the resulting configuration. On
@@ -279,8 +279,8 @@
 	return nil
 }
 
-func summary(change Change) Accepted {
-	a := Accepted{ID: change.ID, Author: change.Author, TimeMs: change.TimeMs, Revision: change.Revision}
+func summary(change Change) AcceptedChange {
+	a := AcceptedChange{ID: change.ID, Author: change.Author, TimeMs: change.TimeMs, Revision: change.Revision}
 	for _, op := range change.Operations {
 		a.Keys = append(a.Keys, op.Key().String())
 	}
--- a/pkg/config/record.go
+++ b/pkg/config/record.go
@@ -49,10 +49,10 @@
 
 // snapshot is the complete configuration, stored as gzipped JSON split into chunks.
 type snapshot struct {
-	Revision uint64     `json:"revision"`
-	Digest   uint64     `json:"digest,string"`
-	Objects  []Stored   `json:"objects"`
-	Accepted []Accepted `json:"accepted"`
+	Revision uint64           `json:"revision"`
+	Digest   uint64           `json:"digest,string"`
+	Objects  []Stored         `json:"objects"`
+	Accepted []AcceptedChange `json:"accepted"`
 }
 
 func decodeHead(data []byte) (*head, error) {
--- a/pkg/config/submitter.go
+++ b/pkg/config/submitter.go
@@ -192,7 +192,7 @@
 
 // existingOutcome returns the outcome of a submission whose ID is already accepted.
 // It is a repeat unless an earlier write of the same submission was accepted.
-func existingOutcome(sub *submission, done Accepted, before *Configuration) outcome {
+func existingOutcome(sub *submission, done AcceptedChange, before *Configuration) outcome {
 	if done.Revision > before.revision {
 		return outcome{result: Result{Revision: done.Revision, Repeated: true}}
 	}
--- a/service/convert/objects.go
+++ b/service/convert/objects.go
@@ -106,7 +106,7 @@
 }
 
 // Change returns the wire form of an accepted change.
-func Change(a config.Accepted) *pb.Change {
+func Change(a config.AcceptedChange) *pb.Change {
 	return &pb.Change{ChangeId: a.ID, Revision: a.Revision, Author: a.Author, TimeUnixMs: a.TimeMs, Keys: a.Keys}
 }
 
