--- a/pkg/config/configuration.go
+++ b/pkg/config/configuration.go
@@ -161,8 +161,8 @@
 	return slices.Sorted(maps.Keys(c.objects[KindEvacuation]))
 }
 
-// Accepted returns the retained changes, oldest first. The caller must not modify the slice.
-func (c *Configuration) Accepted() []AcceptedChange { return c.accepted }
+// History returns the retained changes, oldest first. The caller must not modify the slice.
+func (c *Configuration) History() []AcceptedChange { return c.accepted }
 
 // FindChange returns the retained change with the given ID.
 func (c *Configuration) FindChange(id string) (AcceptedChange, bool) {
--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -74,7 +74,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(result).To(Equal(config.Result{Revision: 1}))
 		refresh(b)
-		Expect(b.replica.Current().Accepted()).To(HaveLen(1))
+		Expect(b.replica.Current().History()).To(HaveLen(1))
 	})
 
 	It("reports unknown, neither accepted nor rejected, while the outcome cannot be read", func() {
@@ -209,7 +209,7 @@
 		fresh := newClient(address)
 		refresh(fresh)
 		Expect(fresh.replica.Current().Digest()).To(Equal(a.replica.Current().Digest()))
-		Expect(fresh.replica.Current().Accepted()).To(HaveLen(int(a.replica.Current().Revision())))
+		Expect(fresh.replica.Current().History()).To(HaveLen(int(a.replica.Current().Revision())))
 	})
 })
 
--- a/pkg/control/control.go
+++ b/pkg/control/control.go
@@ -397,7 +397,7 @@
 }
 
 func lastChange(c *config.Configuration) string {
-	accepted := c.Accepted()
+	accepted := c.History()
 	if len(accepted) == 0 {
 		return ""
 	}
--- a/service/operators/operators.go
+++ b/service/operators/operators.go
@@ -156,7 +156,7 @@
 	if limit == 0 {
 		limit = defaultHistory
 	}
-	accepted := f.Replica.Current().Accepted()
+	accepted := f.Replica.Current().History()
 	resp := &pb.HistoryResponse{}
 	for _, a := range accepted[max(0, len(accepted)-limit):] {
 		resp.Changes = append(resp.Changes, convert.Change(a))
