--- a/pkg/config/follower.go
+++ b/pkg/config/follower.go
@@ -167,7 +167,7 @@
 	defer cancel()
 	update, err := f.Puller.Pull(ctx, peer.Address, f.replica.Current().Revision())
 	if err == nil {
-		_, err = f.replica.Accept(update)
+		_, err = f.replica.ApplyUpdate(update)
 	}
 	if err != nil {
 		f.Log.WithFields(logrus.Fields{"event": "pull_failed", "peer": peer.Name}).Debug(err)
--- a/pkg/config/replica.go
+++ b/pkg/config/replica.go
@@ -103,9 +103,9 @@
 	return u, err
 }
 
-// Accept applies an update from a peer if it is newer. An update whose digest does
+// ApplyUpdate applies an update from a peer if it is newer. An update whose digest does
 // not match is rejected and has no effect.
-func (r *Replica) Accept(u Update) (advanced bool, err error) {
+func (r *Replica) ApplyUpdate(u Update) (advanced bool, err error) {
 	current := r.Current()
 	if u.Revision <= current.revision {
 		return false, nil
