--- a/pkg/config/follower.go
+++ b/pkg/config/follower.go
@@ -228,7 +228,7 @@
 }
 
 func (f *Follower) offer(ctx context.Context, value infra.Value) {
-	if err := f.store.Offer(ctx, value); err != nil {
+	if err := f.store.ApplyHead(ctx, value); err != nil {
 		f.Log.WithField("event", "offer_failed").Warn(err)
 	}
 }
--- a/pkg/config/store.go
+++ b/pkg/config/store.go
@@ -47,8 +47,8 @@
 	return read.head.Revision, read.version, nil
 }
 
-// Offer updates the replica to a head record delivered by a watch.
-func (s *Store) Offer(ctx context.Context, value infra.Value) error {
+// ApplyHead updates the replica to a head record delivered by a watch.
+func (s *Store) ApplyHead(ctx context.Context, value infra.Value) error {
 	h, err := decodeHead(value.Data)
 	if err != nil {
 		return err
