--- a/cmd/cobaltcroftd/daemon/faces.go
+++ b/cmd/cobaltcroftd/daemon/faces.go
@@ -248,7 +248,7 @@
 		Submitter: trafficService.config.submitter,
 		Replica:   trafficService.config.replica,
 		Control:   trafficService.control.Control,
-		Reached:   trafficService.config.follower.Reached,
+		Reached:   trafficService.config.follower.ServiceReachable,
 		OwnStatus: trafficService.Status,
 		Select: func(selection api.TimelineSelect) api.TimelineEvents {
 			return peers.Select(b.ring, b.settings.Instance, selection)
--- a/pkg/config/follower.go
+++ b/pkg/config/follower.go
@@ -73,8 +73,8 @@
 	return &Follower{FollowerOptions: o, store: store, replica: store.replica, kv: store.kv, pulls: make(chan Peer, pullQueueLength)}
 }
 
-// Reached reports whether the last call to the key-value service succeeded.
-func (f *Follower) Reached() bool { return f.reached.Load() }
+// ServiceReachable reports whether the last call to the key-value service succeeded.
+func (f *Follower) ServiceReachable() bool { return f.reached.Load() }
 
 // Behind schedules a pull from a peer with a higher revision. It does not block.
 func (f *Follower) Behind(p Peer) {
@@ -180,7 +180,7 @@
 func (f *Follower) poll(ctx context.Context) error {
 	for ctx.Err() == nil {
 		period := f.AntiEntropy
-		if !f.Reached() {
+		if !f.ServiceReachable() {
 			period = min(period, time.Second)
 		}
 		// Jitter keeps the instances from reading at the same time.
