--- a/cmd/cobaltcroftd/daemon/services.go
+++ b/cmd/cobaltcroftd/daemon/services.go
@@ -225,7 +225,7 @@
 	store := config.NewStore(platformService.keyValue, s.replica)
 	s.submitter = config.NewSubmitter(store)
 	s.follower = config.NewFollower(followerOptions(b, control, peersService), store)
-	behind := func(peer membership.Self) { s.follower.Behind(peerOf(peer)) }
+	behind := func(peer membership.Self) { s.follower.SchedulePull(peerOf(peer)) }
 	peersService.behind.Store(&behind)
 	t.Go(func() error {
 		s.submitter.Run(t.Context(context.Background()))
--- a/pkg/config/follower.go
+++ b/pkg/config/follower.go
@@ -76,8 +76,8 @@
 // ServiceReachable reports whether the last call to the key-value service succeeded.
 func (f *Follower) ServiceReachable() bool { return f.reached.Load() }
 
-// Behind schedules a pull from a peer with a higher revision. It does not block.
-func (f *Follower) Behind(p Peer) {
+// SchedulePull schedules a pull from a peer with a higher revision. It does not block.
+func (f *Follower) SchedulePull(p Peer) {
 	select {
 	case f.pulls <- p:
 	default:
