--- a/cmd/cobaltcroftd/daemon/placement.go
+++ b/cmd/cobaltcroftd/daemon/placement.go
@@ -42,7 +42,7 @@
 	log := s.base.logs.For("placement")
 	// Only the domain's watchers try for the lease, so that the tries do not grow
 	// with the domain; and only while there is something to place.
-	wanted := func() bool { return len(s.placements()) > 0 && configService.follower.Watches() }
+	wanted := func() bool { return len(s.placements()) > 0 && configService.follower.IsWatcher() }
 	s.keeper = lease.NewKeeper(platformService.keyValue, s.base.clock, log, leaseKeyPrefix+s.base.settings.FailureDomain, s.base.settings.Instance, p.Lease.Std(), wanted)
 	runner := placement.NewRunner(placement.Options{
 		Lease:          s.keeper,
--- a/pkg/config/follower.go
+++ b/pkg/config/follower.go
@@ -195,7 +195,7 @@
 // watch watches the head while this instance is one of the watchers.
 func (f *Follower) watch(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if f.Watches() {
+		if f.IsWatcher() {
 			f.watchHead(ctx)
 		}
 		f.pause(ctx, watcherCheckPeriod)
@@ -221,7 +221,7 @@
 
 // cancelWhenReplaced cancels the watch when this instance is no longer a watcher.
 func (f *Follower) cancelWhenReplaced(ctx context.Context, cancel func()) {
-	for ctx.Err() == nil && f.Watches() {
+	for ctx.Err() == nil && f.IsWatcher() {
 		f.pause(ctx, watcherCheckPeriod)
 	}
 	cancel()
@@ -233,10 +233,10 @@
 	}
 }
 
-// Watches reports whether this instance is one of its failure domain's watchers.
+// IsWatcher reports whether this instance is one of its failure domain's watchers.
 // They are chosen by rendezvous hashing over the live members. go-rendezvous is not
 // used because its Remove panics.
-func (f *Follower) Watches() bool {
+func (f *Follower) IsWatcher() bool {
 	own := watchWeight(f.Self.Name)
 	higher := 0
 	for _, peer := range f.Peers() {
