--- a/cmd/cobaltcroftd/daemon/services.go
+++ b/cmd/cobaltcroftd/daemon/services.go
@@ -242,7 +242,7 @@
 		Puller:      peersService.client,
 		Timeout:     2 * b.settings.Platform.Timeout.Std(),
 		AntiEntropy: b.settings.Timings.AntiEntropy.Std(),
-		Confirmed:   control.Confirm,
+		OnConfirmed: control.Confirm,
 		Clock:       b.clock,
 		Ring:        b.ring,
 		Log:         b.logs.For("config"),
--- a/pkg/config/follower.go
+++ b/pkg/config/follower.go
@@ -48,12 +48,12 @@
 	Timeout time.Duration
 	// AntiEntropy is the mean interval between periodic reads of the head.
 	AntiEntropy time.Duration
-	// Confirmed is called once the replica has been synchronised with the key-value
+	// OnConfirmed is called once the replica has been synchronised with the key-value
 	// service or, if that is unavailable, with a peer.
-	Confirmed func()
-	Clock     clockwork.Clock
-	Ring      *timeline.Ring
-	Log       *logrus.Entry
+	OnConfirmed func()
+	Clock       clockwork.Clock
+	Ring        *timeline.Ring
+	Log         *logrus.Entry
 }
 
 // Follower keeps a replica up to date by a watch, if this instance is one of its
@@ -98,7 +98,7 @@
 func (f *Follower) confirm(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if _, err := f.refresh(ctx); err == nil || f.pullFromPeers(ctx) {
-			f.Confirmed()
+			f.OnConfirmed()
 			return nil
 		}
 		f.pause(ctx, watcherCheckPeriod)
