--- a/pkg/control/control.go
+++ b/pkg/control/control.go
@@ -86,7 +86,7 @@
 
 // listedEndpoint is an endpoint of the instance list.
 type listedEndpoint struct {
-	infra.Listed
+	infra.ListEntry
 	// missingSince is when the endpoint disappeared from the list; zero while listed.
 	missingSince time.Time
 }
@@ -168,7 +168,7 @@
 func (c *Control) Confirm() { c.events <- confirmed{} }
 
 // SetListed processes a result of InstanceList.List.
-func (c *Control) SetListed(list []infra.Listed, unchanged bool) {
+func (c *Control) SetListed(list []infra.ListEntry, unchanged bool) {
 	if unchanged {
 		c.events <- listUnchanged{}
 		return
@@ -230,7 +230,7 @@
 	c.publish()
 }
 
-type listRead struct{ list []infra.Listed }
+type listRead struct{ list []infra.ListEntry }
 
 func (e listRead) apply(c *Control) {
 	now := c.clock.Now()
@@ -241,7 +241,7 @@
 			continue
 		}
 		present[l.Name] = true
-		c.listed[l.Name] = &listedEndpoint{Listed: l}
+		c.listed[l.Name] = &listedEndpoint{ListEntry: l}
 		if l.State == infra.Leaving {
 			c.noteLeaving(LeavingEndpoint{l.Name, l.Incarnation}, "instance list")
 		}
--- a/pkg/infra/httpsd/httpsd.go
+++ b/pkg/infra/httpsd/httpsd.go
@@ -55,7 +55,7 @@
 
 // List implements infra.InstanceList. It makes a conditional request if the service
 // supports entity tags. Entries with an invalid address or state are skipped.
-func (c *Client) List(ctx context.Context) (entries []infra.Listed, unchanged bool, err error) {
+func (c *Client) List(ctx context.Context) (entries []infra.ListEntry, unchanged bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
@@ -84,8 +84,8 @@
 	return convert(groups), false, nil
 }
 
-func convert(groups []Group) []infra.Listed {
-	var listed []infra.Listed
+func convert(groups []Group) []infra.ListEntry {
+	var listed []infra.ListEntry
 	for _, group := range groups {
 		for _, target := range group.Targets {
 			if l, ok := convertTarget(target, group.Labels); ok {
@@ -96,20 +96,20 @@
 	return listed
 }
 
-func convertTarget(target string, labels map[string]string) (infra.Listed, bool) {
+func convertTarget(target string, labels map[string]string) (infra.ListEntry, bool) {
 	if _, err := netip.ParseAddrPort(target); err != nil {
-		return infra.Listed{}, false
+		return infra.ListEntry{}, false
 	}
 	state := infra.State(labels[LabelState])
 	if state != infra.Live && state != infra.Leaving {
-		return infra.Listed{}, false
+		return infra.ListEntry{}, false
 	}
 	name := labels[LabelName]
 	if name == "" {
 		name = target
 	}
 	incarnation, _ := strconv.ParseUint(labels[LabelIncarnation], 10, 64)
-	return infra.Listed{
+	return infra.ListEntry{
 		Name:          name,
 		Address:       target,
 		FailureDomain: labels[LabelFailureDomain],
--- a/pkg/infra/infra.go
+++ b/pkg/infra/infra.go
@@ -55,8 +55,8 @@
 	Leaving State = "leaving"
 )
 
-// Listed is an entry of the instance list.
-type Listed struct {
+// ListEntry is an entry of the instance list.
+type ListEntry struct {
 	Name          string
 	Address       string
 	FailureDomain string
@@ -72,7 +72,7 @@
 // InstanceList lists the live and leaving instances. It may lag.
 type InstanceList interface {
 	// List returns the entries, or unchanged if they are the same as in the last call.
-	List(ctx context.Context) (entries []Listed, unchanged bool, err error)
+	List(ctx context.Context) (entries []ListEntry, unchanged bool, err error)
 }
 
 // ErrConflict returns the problem for a failed comparison.
