--- a/pkg/infra/etcdkv/etcdkv.go
+++ b/pkg/infra/etcdkv/etcdkv.go
@@ -77,7 +77,7 @@
 		return 0, err
 	}
 	if !resp.Succeeded {
-		return 0, infra.ErrConflict(key, expected)
+		return 0, infra.ConflictProblem(key, expected)
 	}
 	return resp.Header.Revision, nil
 }
--- a/pkg/infra/infra.go
+++ b/pkg/infra/infra.go
@@ -75,7 +75,7 @@
 	List(ctx context.Context) (entries []ListEntry, unchanged bool, err error)
 }
 
-// ErrConflict returns the problem for a failed comparison.
-func ErrConflict(key string, expected int64) error {
+// ConflictProblem returns the problem for a failed comparison.
+func ConflictProblem(key string, expected int64) error {
 	return problem.New(problem.Conflict, "read the key again and retry", "version of key %s is no longer %d", key, expected)
 }
--- a/pkg/lease/keeper.go
+++ b/pkg/lease/keeper.go
@@ -162,7 +162,7 @@
 	}
 	var found Record
 	if json.Unmarshal(value.Data, &found) != nil || found != record {
-		return 0, infra.ErrConflict(k.key, 0)
+		return 0, infra.ConflictProblem(k.key, 0)
 	}
 	return value.Version, nil
 }
