--- a/cmd/cobaltcroftd/daemon/faces.go
+++ b/cmd/cobaltcroftd/daemon/faces.go
@@ -209,7 +209,7 @@
 	b := s.traffic.base
 	b.stopping.Store(true)
 	b.ring.Add(timeline.Event{Kind: timeline.InstanceStopping})
-	s.traffic.control.Stopping()
+	s.traffic.control.AnnounceLeaving()
 	s.face.Unready()
 	time.Sleep(leaveTime)
 	s.face.Stopping()
--- a/pkg/control/peers.go
+++ b/pkg/control/peers.go
@@ -13,9 +13,9 @@
 	c.events <- heartbeatReceived{h, leaving}
 }
 
-// Stopping announces to the peers, immediately and with each further heartbeat, that
+// AnnounceLeaving announces to the peers, immediately and with each further heartbeat, that
 // this instance is leaving.
-func (c *Control) Stopping() { c.events <- stopping{} }
+func (c *Control) AnnounceLeaving() { c.events <- stopping{} }
 
 // Members returns the known other instances. The caller must not modify the slice.
 func (c *Control) Members() []membership.Member { return *c.membersShared.Load() }
