--- a/pkg/control/control.go
+++ b/pkg/control/control.go
@@ -176,9 +176,9 @@
 	c.events <- listRead{list}
 }
 
-// Leaving reports that an incarnation of an endpoint is leaving. from is the source of
+// ReportLeaving reports that an incarnation of an endpoint is leaving. from is the source of
 // the information: the endpoint or a peer.
-func (c *Control) Leaving(e LeavingEndpoint, from string) { c.events <- endpointLeaving{e, from} }
+func (c *Control) ReportLeaving(e LeavingEndpoint, from string) { c.events <- endpointLeaving{e, from} }
 
 type configured struct{ next *config.Configuration }
 
