--- a/cmd/cobaltcroftd/daemon/services.go
+++ b/cmd/cobaltcroftd/daemon/services.go
@@ -163,7 +163,7 @@
 	for t.Alive() {
 		listed, unchanged, err := list.List(ctx)
 		if err == nil {
-			s.SetListed(listed, unchanged)
+			s.UpdateInstanceList(listed, unchanged)
 		}
 		if ctx.Err() == nil && reached != (err == nil) {
 			reached = err == nil
--- a/pkg/control/control.go
+++ b/pkg/control/control.go
@@ -167,8 +167,8 @@
 // Confirm marks the configuration as synchronised.
 func (c *Control) Confirm() { c.events <- confirmed{} }
 
-// SetListed processes a result of InstanceList.List.
-func (c *Control) SetListed(list []infra.ListEntry, unchanged bool) {
+// UpdateInstanceList processes a result of InstanceList.List.
+func (c *Control) UpdateInstanceList(list []infra.ListEntry, unchanged bool) {
 	if unchanged {
 		c.events <- listUnchanged{}
 		return
