--- a/pkg/control/control.go
+++ b/pkg/control/control.go
@@ -52,8 +52,8 @@
 type Peers interface {
 	// Broadcast sends a heartbeat to the addresses.
 	Broadcast(h membership.Heartbeat, leaving []LeavingEndpoint, to []string)
-	// Behind reports that a peer has a newer configuration.
-	Behind(peer membership.Self, revision uint64)
+	// NotifyBehind reports that a peer has a newer configuration.
+	NotifyBehind(peer membership.Self, revision uint64)
 }
 
 // event is a state change that the control goroutine applies.
--- a/pkg/control/peers.go
+++ b/pkg/control/peers.go
@@ -35,7 +35,7 @@
 		endpointLeaving{endpoint, "instance " + e.heartbeat.From.Name}.apply(c)
 	}
 	if e.heartbeat.Revision > c.configuration.Revision() && e.heartbeat.From.Name != c.settings.Self.Name {
-		c.peers.Behind(e.heartbeat.From, e.heartbeat.Revision)
+		c.peers.NotifyBehind(e.heartbeat.From, e.heartbeat.Revision)
 	}
 }
 
--- a/service/peers/gossip.go
+++ b/service/peers/gossip.go
@@ -74,8 +74,8 @@
 	g.sent.Add(n)
 }
 
-// Behind implements control.Peers.
-func (g *Gossip) Behind(peer membership.Self, revision uint64) { g.onBehind(peer, revision) }
+// NotifyBehind implements control.Peers.
+func (g *Gossip) NotifyBehind(peer membership.Self, revision uint64) { g.onBehind(peer, revision) }
 
 // Listener takes received heartbeats.
 type Listener interface {
