--- a/cmd/cobaltcroftd/daemon/faces.go
+++ b/cmd/cobaltcroftd/daemon/faces.go
@@ -116,7 +116,7 @@
 	return traffic.Options{
 		Instance:    s.base.settings.Instance,
 		View:        s.control.View,
-		Leaving:     s.control.ReportLeaving,
+		OnLeaving:   s.control.ReportLeaving,
 		Caller:      s.client,
 		Clock:       s.base.clock,
 		Ring:        s.base.ring,
--- a/pkg/traffic/executor.go
+++ b/pkg/traffic/executor.go
@@ -26,13 +26,13 @@
 	Instance string
 	// View returns the current view of the control state.
 	View func() *control.View
-	// Leaving is called for each endpoint that reports that it is draining.
-	Leaving func(e control.LeavingEndpoint, from string)
-	Caller  endpoint.Caller
-	Clock   clockwork.Clock
-	Ring    *timeline.Ring
-	Log     *logrus.Entry
-	Metrics *Metrics
+	// OnLeaving is called for each endpoint that reports that it is draining.
+	OnLeaving func(e control.LeavingEndpoint, from string)
+	Caller    endpoint.Caller
+	Clock     clockwork.Clock
+	Ring      *timeline.Ring
+	Log       *logrus.Entry
+	Metrics   *Metrics
 	// Shares splits the organisations' rate limits across the instances.
 	Shares *ratelimit.Splitter
 	// MaxInFlight is the maximum number of requests in flight.
--- a/pkg/traffic/stage.go
+++ b/pkg/traffic/stage.go
@@ -223,7 +223,7 @@
 		s.Log.WithFields(map[string]any{"event": timeline.EndpointEjected, "endpoint": grant.Endpoint.Name}).Warn(e.Error())
 	}
 	if e.Draining {
-		s.Leaving(control.LeavingEndpoint{Name: grant.Endpoint.Name, Incarnation: grant.Endpoint.Incarnation}, "the endpoint")
+		s.OnLeaving(control.LeavingEndpoint{Name: grant.Endpoint.Name, Incarnation: grant.Endpoint.Incarnation}, "the endpoint")
 	}
 	kind := timeline.AttemptFailed
 	if e.Foreign {
@@ -239,7 +239,7 @@
 		return
 	}
 	s.pool.MarkLeaving(grant.Endpoint.Name, grant.Endpoint.Incarnation)
-	s.Leaving(control.LeavingEndpoint{Name: grant.Endpoint.Name, Incarnation: grant.Endpoint.Incarnation}, "the endpoint")
+	s.OnLeaving(control.LeavingEndpoint{Name: grant.Endpoint.Name, Incarnation: grant.Endpoint.Incarnation}, "the endpoint")
 }
 
 // recordEffect marks a failed attempt as ended, immediately if it is known to have
--- a/pkg/traffic/suite_test.go
+++ b/pkg/traffic/suite_test.go
@@ -159,7 +159,7 @@
 	b.executor = traffic.New(traffic.Options{
 		Instance: "test",
 		View:     func() *control.View { return view },
-		Leaving: func(e control.LeavingEndpoint, _ string) {
+		OnLeaving: func(e control.LeavingEndpoint, _ string) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			b.leaving = append(b.leaving, e.Name)
