--- a/pkg/problem/problem.go
+++ b/pkg/problem/problem.go
@@ -37,8 +37,8 @@
 // Problem is an error with a kind, a message and a remedy.
 type Problem struct {
 	Kind Kind
-	// What is the message, including the relevant names, values and limits.
-	What string
+	// Message is the message, including the relevant names, values and limits.
+	Message string
 	// Remedy is the suggested corrective action.
 	Remedy string
 	// Faults lists the individual faults if several were found.
@@ -49,7 +49,7 @@
 
 // New returns a Problem whose message is formatted from what and args.
 func New(kind Kind, remedy, what string, args ...any) *Problem {
-	return &Problem{Kind: kind, What: fmt.Sprintf(what, args...), Remedy: remedy}
+	return &Problem{Kind: kind, Message: fmt.Sprintf(what, args...), Remedy: remedy}
 }
 
 // Wrap returns a Problem caused by err.
@@ -62,7 +62,7 @@
 // Error returns the message, the faults, the cause and the remedy in one line.
 func (p *Problem) Error() string {
 	var b strings.Builder
-	b.WriteString(p.What)
+	b.WriteString(p.Message)
 	if len(p.Faults) > 0 {
 		b.WriteString(": " + strings.Join(p.Faults, "; "))
 	}
