--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -40,9 +40,9 @@
 // Entry is a line of a trace: a request or a change of endpoint states.
 type Entry struct {
 	// AtMs is the time since the start of the trace, in milliseconds.
-	AtMs    float64  `json:"at_ms"`
-	Request *Request `json:"request,omitempty"`
-	Switch  *Switch  `json:"switch,omitempty"`
+	AtMs    float64      `json:"at_ms"`
+	Request *Request     `json:"request,omitempty"`
+	Switch  *StateChange `json:"switch,omitempty"`
 }
 
 // Request is a request of a trace. It includes the service times, so that they do not
@@ -56,8 +56,8 @@
 	WorkMs map[string]float64 `json:"work_ms"`
 }
 
-// Switch sets the state of endpoints.
-type Switch struct {
+// StateChange sets the state of endpoints.
+type StateChange struct {
 	Endpoints []string              `json:"endpoints"`
 	State     standin.EndpointState `json:"state"`
 }
