--- a/pkg/measure/replay.go
+++ b/pkg/measure/replay.go
@@ -148,8 +148,8 @@
 			break
 		}
 		time.Sleep(time.Until(began.Add(e.At())))
-		if e.Switch != nil {
-			wg.Go(func() { p.setEndpoints(ctx, e.Switch.Endpoints, e.Switch.State) })
+		if e.StateChange != nil {
+			wg.Go(func() { p.setEndpoints(ctx, e.StateChange.Endpoints, e.StateChange.State) })
 			continue
 		}
 		s := &sent{id: fmt.Sprintf("%s%d", prefix, i), request: e.Request}
@@ -190,8 +190,8 @@
 func (p *Player) switched(t *trace.Trace) []string {
 	var names []string
 	for _, e := range t.Entries {
-		if e.Switch != nil {
-			names = append(names, e.Switch.Endpoints...)
+		if e.StateChange != nil {
+			names = append(names, e.StateChange.Endpoints...)
 		}
 	}
 	return names
--- a/pkg/scheduling/replay_test.go
+++ b/pkg/scheduling/replay_test.go
@@ -104,10 +104,10 @@
 }
 
 func (r *replay) entry(n int, e trace.Entry) {
-	if e.Switch != nil {
-		for _, name := range e.Switch.Endpoints {
-			r.endpoints[name].dead = e.Switch.State.Dead
-			r.endpoints[name].slow = max(1, e.Switch.State.Faults.Slow)
+	if e.StateChange != nil {
+		for _, name := range e.StateChange.Endpoints {
+			r.endpoints[name].dead = e.StateChange.State.Dead
+			r.endpoints[name].slow = max(1, e.StateChange.State.Faults.Slow)
 		}
 		return
 	}
--- a/pkg/trace/generate.go
+++ b/pkg/trace/generate.go
@@ -167,7 +167,7 @@
 }
 
 func at(ms float64, state standin.EndpointState, endpoints ...string) Entry {
-	return Entry{AtMs: ms, Switch: &StateChange{Endpoints: endpoints, State: state}}
+	return Entry{AtMs: ms, StateChange: &StateChange{Endpoints: endpoints, State: state}}
 }
 
 // names returns the first n endpoints of the service that runs a stage kind.
--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -40,9 +40,9 @@
 // Entry is a line of a trace: a request or a change of endpoint states.
 type Entry struct {
 	// AtMs is the time since the start of the trace, in milliseconds.
-	AtMs    float64      `json:"at_ms"`
-	Request *Request     `json:"request,omitempty"`
-	Switch  *StateChange `json:"switch,omitempty"`
+	AtMs        float64      `json:"at_ms"`
+	Request     *Request     `json:"request,omitempty"`
+	StateChange *StateChange `json:"switch,omitempty"`
 }
 
 // Request is a request of a trace. It includes the service times, so that they do not
