--- a/pkg/traffic/outcome_test.go
+++ b/pkg/traffic/outcome_test.go
@@ -42,7 +42,7 @@
 		Expect(b.runs("left") + b.runs("right") + b.runs("join")).To(Equal(3))
 	})
 
-	It("gets its own complete answer among concurrent requests", func() {
+	It("among many at once gets its own complete answer", func() {
 		var wg sync.WaitGroup
 		for i := range 60 {
 			wg.Go(func() {
@@ -58,7 +58,7 @@
 		wg.Wait()
 	})
 
-	DescribeTable("gets its own answer though the first answer is wrong",
+	DescribeTable("gets its own answer though the first one is wrong",
 		func(service string, f standin.EndpointFaults, dropped int) {
 			b.faultNext(service, f)
 			r := call("bulletin", time.Second)
@@ -86,7 +86,7 @@
 		Entry("the stream leaves out tokens", "engine", standin.EndpointFaults{SkipTokens: 2}, 0),
 	)
 
-	It("gets its own answer from another endpoint if two answers are swapped", func() {
+	It("whose answer crosses with another's gets its own answer from another endpoint", func() {
 		b.useFirst("archive")
 		b.fault("archive", standin.EndpointFaults{Cross: true, Slow: 50, Calls: 2})
 		var wg sync.WaitGroup
@@ -108,7 +108,7 @@
 		}
 	})
 
-	It("is answered by a hedged attempt if the first is slow", func() {
+	It("is answered by the second attempt when the first answers late", func() {
 		for range 20 {
 			b.run(call("bulletin", time.Second))
 		}
@@ -123,7 +123,7 @@
 		}
 	})
 
-	It("is not run if no endpoint of its first stage is reachable", func() {
+	It("is not run, and nothing of it ran, if no endpoint of its first stage is reachable", func() {
 		b.endpoint("encoder", "1").Kill()
 		b.endpoint("encoder", "2").Kill()
 		result := b.run(call("bulletin", time.Second))
@@ -131,7 +131,7 @@
 		Expect(b.site.Runs()).To(BeEmpty())
 	})
 
-	It("fails if no endpoint of a later stage is reachable", func() {
+	It("failed, and nothing of it runs any more, if no endpoint of a later stage is reachable", func() {
 		b.endpoint("engine", "1").Kill()
 		b.endpoint("engine", "2").Kill()
 		result := b.run(call("bulletin", time.Second))
@@ -194,7 +194,7 @@
 		Eventually(func() int { return b.runs("generate") }).Should(BeNumerically(">", 0), "the engine's slot is free again")
 	})
 
-	It("streams each token once and in order across a resumed stream", func() {
+	It("streams each token once and in order over a broken stream", func() {
 		b.faultNext("engine", standin.EndpointFaults{DieAfterTokens: 3})
 		r := call("bulletin", time.Second)
 		var tokens []endpoint.Token
@@ -267,7 +267,7 @@
 		return r
 	}
 
-	DescribeTable("is not retried once a byte may have reached an endpoint",
+	DescribeTable("is not tried again once a byte may have reached an endpoint",
 		func(f standin.EndpointFaults, outcome request.Outcome) {
 			// Cancellations do not complete before the outcome is determined.
 			b.caller.blockCancels.Store(true)
