--- a/pkg/discovery/shelf.go
+++ b/pkg/discovery/shelf.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/jonboulle/clockwork"
 
-	"github.com/cobaltcroft/cobaltcroft/pkg/packed"
+	"github.com/cobaltcroft/cobaltcroft/pkg/gzipcodec"
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
@@ -72,7 +72,7 @@
 
 // pack compresses a document.
 func pack(d Document) (*parcel, error) {
-	data, err := packed.Pack(d.Data)
+	data, err := gzipcodec.Pack(d.Data)
 	if err != nil {
 		return nil, err
 	}
@@ -84,8 +84,8 @@
 	if digestOf(p.data) != p.digest {
 		return Document{}, problem.New(problem.Invalid, "take it from another peer", "the packed document of revision %d is not what its digest says", p.revision)
 	}
-	data, err := packed.Unpack(p.data, largestDocument)
-	if errors.Is(err, packed.ErrTooLarge) {
+	data, err := gzipcodec.Unpack(p.data, largestDocument)
+	if errors.Is(err, gzipcodec.ErrTooLarge) {
 		return Document{}, problem.New(problem.Invalid, "write a smaller configuration", "the document of revision %d is larger than %d bytes", p.revision, largestDocument)
 	}
 	if err != nil {
--- a/pkg/packed/packed.go
+++ b/pkg/gzipcodec/gzipcodec.go
@@ -1,5 +1,5 @@
-// Package packed compresses data exchanged between instances.
-package packed
+// Package gzipcodec compresses data exchanged between instances.
+package gzipcodec
 
 import (
 	"bytes"
--- a/pkg/packed/packed_test.go
+++ b/pkg/gzipcodec/gzipcodec_test.go
@@ -1,4 +1,4 @@
-package packed_test
+package gzipcodec_test
 
 import (
 	"bytes"
@@ -6,27 +6,27 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/cobaltcroft/cobaltcroft/pkg/packed"
+	"github.com/cobaltcroft/cobaltcroft/pkg/gzipcodec"
 )
 
 func TestRoundTripWithinLimit(t *testing.T) {
 	data := bytes.Repeat([]byte("endpoint "), 1000)
-	compressed, err := packed.Pack(data)
+	compressed, err := gzipcodec.Pack(data)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(compressed) >= len(data)/10 {
 		t.Errorf("compressed %d bytes to %d", len(data), len(compressed))
 	}
-	got, err := packed.Unpack(compressed, int64(len(data)))
+	got, err := gzipcodec.Unpack(compressed, int64(len(data)))
 	if err != nil || !bytes.Equal(got, data) {
 		t.Errorf("decompressed %d bytes, error %v", len(got), err)
 	}
-	if _, err := packed.Unpack(compressed, int64(len(data))-1); !errors.Is(err, packed.ErrTooLarge) {
+	if _, err := gzipcodec.Unpack(compressed, int64(len(data))-1); !errors.Is(err, gzipcodec.ErrTooLarge) {
 		t.Errorf("one byte over the limit: %v", err)
 	}
 	for _, corrupt := range [][]byte{nil, []byte("plain"), compressed[:len(compressed)/2]} {
-		if _, err := packed.Unpack(corrupt, int64(len(data))); err == nil || errors.Is(err, packed.ErrTooLarge) {
+		if _, err := gzipcodec.Unpack(corrupt, int64(len(data))); err == nil || errors.Is(err, gzipcodec.ErrTooLarge) {
 			t.Errorf("%d corrupt bytes: %v", len(corrupt), err)
 		}
 	}
--- a/service/handover/packing.go
+++ b/service/handover/packing.go
@@ -5,7 +5,7 @@
 	"sync"
 
 	"github.com/cobaltcroft/cobaltcroft/pkg/discovery"
-	"github.com/cobaltcroft/cobaltcroft/pkg/packed"
+	"github.com/cobaltcroft/cobaltcroft/pkg/gzipcodec"
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 	"github.com/cobaltcroft/cobaltcroft/service/api"
 )
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	data, err := packed.Pack(plain)
+	data, err := gzipcodec.Pack(plain)
 	if err != nil {
 		return nil, err
 	}
@@ -96,7 +96,7 @@
 	if len(data) == 0 {
 		return nil
 	}
-	plain, err := packed.Unpack(data, largestUnpacked)
+	plain, err := gzipcodec.Unpack(data, largestUnpacked)
 	if err == nil {
 		err = json.Unmarshal(plain, value)
 	}
