--- a/cmd/cobaltcroft/cmds/account.go
+++ b/cmd/cobaltcroft/cmds/account.go
@@ -4,7 +4,7 @@
 	"io"
 	"os"
 
-	"github.com/cobaltcroft/cobaltcroft/pkg/account"
+	"github.com/cobaltcroft/cobaltcroft/pkg/logsummary"
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
@@ -15,7 +15,7 @@
 
 // Run implements kong's command.
 func (c *accountCommand) Run(g *globals) error {
-	sums := account.New()
+	sums := logsummary.New()
 	if len(c.Files) == 0 {
 		if err := sums.Read(os.Stdin); err != nil {
 			return err
@@ -29,7 +29,7 @@
 	return sums.Write(g.out)
 }
 
-func readLog(sums *account.Account, name string) error {
+func readLog(sums *logsummary.Account, name string) error {
 	file, err := os.Open(name)
 	if err != nil {
 		return problem.Wrap(err, problem.Invalid, "name a readable file", "log %s cannot be read", name)
--- a/pkg/account/report.go
+++ b/pkg/logsummary/report.go
@@ -1,4 +1,4 @@
-package account
+package logsummary
 
 import (
 	"cmp"
--- a/pkg/account/account.go
+++ b/pkg/logsummary/summary.go
@@ -1,6 +1,6 @@
-// Package account summarises gateway logs for operators: request outcomes and latencies, stage
+// Package logsummary summarises gateway logs for operators: request outcomes and latencies, stage
 // planning, stage calls and the accuracy of their estimates, source calls, and ownership changes.
-package account
+package logsummary
 
 import (
 	"bufio"
--- a/pkg/account/account_test.go
+++ b/pkg/logsummary/summary_test.go
@@ -1,4 +1,4 @@
-package account_test
+package logsummary_test
 
 import (
 	"strings"
@@ -7,12 +7,12 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"github.com/cobaltcroft/cobaltcroft/pkg/account"
+	"github.com/cobaltcroft/cobaltcroft/pkg/logsummary"
 )
 
-func TestAccount(t *testing.T) {
+func TestLogSummary(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "account")
+	RunSpecs(t, "logsummary")
 }
 
 // lines is a sample log, partly with the prefix of a log collector.
@@ -34,7 +34,7 @@
 var _ = Describe("a log account", func() {
 	report := func(text string) []string {
 		GinkgoHelper()
-		a := account.New()
+		a := logsummary.New()
 		Expect(a.Read(strings.NewReader(text))).To(Succeed())
 		var out strings.Builder
 		Expect(a.Write(&out)).To(Succeed())
@@ -66,7 +66,7 @@
 	})
 
 	It("returns a remedy for an unreadable log", func() {
-		err := account.New().Read(strings.NewReader(strings.Repeat("x", 2<<20)))
+		err := logsummary.New().Read(strings.NewReader(strings.Repeat("x", 2<<20)))
 		Expect(err).To(MatchError(ContainSubstring("lines of up to a megabyte")))
 	})
 })
