--- a/cmd/cobaltcroft/cmds/account.go
+++ b/cmd/cobaltcroft/cmds/account.go
@@ -29,7 +29,7 @@
 	return sums.Write(g.out)
 }
 
-func readLog(sums *logsummary.Account, name string) error {
+func readLog(sums *logsummary.Summary, name string) error {
 	file, err := os.Open(name)
 	if err != nil {
 		return problem.Wrap(err, problem.Invalid, "name a readable file", "log %s cannot be read", name)
--- a/pkg/logsummary/report.go
+++ b/pkg/logsummary/report.go
@@ -15,7 +15,7 @@
 const tail = 0.99
 
 // Write writes the account as tables, with durations in milliseconds.
-func (a *Account) Write(w io.Writer) error {
+func (a *Summary) Write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	a.writeRequests(t)
 	a.writePlans(t)
@@ -26,7 +26,7 @@
 	return t.Flush()
 }
 
-func (a *Account) writeRequests(w io.Writer) {
+func (a *Summary) writeRequests(w io.Writer) {
 	total := map[string]int{}
 	for key, s := range a.requests {
 		total[key.route] += s.count()
@@ -45,7 +45,7 @@
 	}
 }
 
-func (a *Account) writePlans(w io.Writer) {
+func (a *Summary) writePlans(w io.Writer) {
 	row(w, "\nSTAGES OF A REQUEST", "REQUESTS", "MEDIAN MS", "P99 MS")
 	for _, reason := range slices.Sorted(maps.Keys(a.plans)) {
 		s := a.plans[reason]
@@ -53,7 +53,7 @@
 	}
 }
 
-func (a *Account) writeCalls(w io.Writer) {
+func (a *Summary) writeCalls(w io.Writer) {
 	row(w, "\nCALLS TO", "CALLS", "PIECES A CALL", "MEDIAN MS", "P99 MS", "OVER EXPECTED", "NOT MADE", "WHY NOT")
 	for _, service := range slices.Sorted(maps.Keys(a.calls)) {
 		c := a.calls[service]
@@ -62,7 +62,7 @@
 	}
 }
 
-func (a *Account) writeSourceCalls(w io.Writer) {
+func (a *Summary) writeSourceCalls(w io.Writer) {
 	row(w, "\nSOURCE ASKED FOR", "BY A", "CALLS", "MEDIAN MS", "P99 MS")
 	keys := slices.SortedFunc(maps.Keys(a.sourceCalls), func(x, y sourceKey) int {
 		return cmp.Or(cmp.Compare(x.of, y.of), cmp.Compare(x.call, y.call))
@@ -73,7 +73,7 @@
 	}
 }
 
-func (a *Account) writeDecisions(w io.Writer) {
+func (a *Summary) writeDecisions(w io.Writer) {
 	row(w, "\nCHANGE OF", "CAUSE", "TIMES")
 	keys := slices.SortedFunc(maps.Keys(a.decisions), func(x, y decisionKey) int {
 		return cmp.Or(cmp.Compare(x.event, y.event), cmp.Compare(x.cause, y.cause))
--- a/pkg/logsummary/summary.go
+++ b/pkg/logsummary/summary.go
@@ -17,8 +17,8 @@
 // served is the outcome of a request that was answered by its endpoint.
 const served = "answered"
 
-// Account aggregates log lines. Not safe for concurrent use.
-type Account struct {
+// Summary aggregates log lines. Not safe for concurrent use.
+type Summary struct {
 	requests    map[requestKey]*sample
 	plans       map[string]*sample     // by reason
 	calls       map[string]*stageCalls // by service
@@ -45,8 +45,8 @@
 }
 
 // New returns an empty account.
-func New() *Account {
-	return &Account{
+func New() *Summary {
+	return &Summary{
 		requests:    map[requestKey]*sample{},
 		plans:       map[string]*sample{},
 		calls:       map[string]*stageCalls{},
@@ -60,7 +60,7 @@
 
 // Read adds the lines of one or more logs. Text before the first key-value pair of a line, such as
 // a prefix from a log collector, is ignored. Malformed lines are skipped and counted.
-func (a *Account) Read(r io.Reader) error {
+func (a *Summary) Read(r io.Reader) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLine)
 	for lines.Scan() {
@@ -105,7 +105,7 @@
 }
 
 // add aggregates a line.
-func (a *Account) add(line fields) {
+func (a *Summary) add(line fields) {
 	switch event := line["event"]; event {
 	case "request":
 		sampleOf(a.requests, requestKey{line["route"], line["outcome"]}).add(line.ms("ms"))
@@ -128,7 +128,7 @@
 	}
 }
 
-func (a *Account) addCall(line fields) {
+func (a *Summary) addCall(line fields) {
 	calls := a.calls[line["service"]]
 	if calls == nil {
 		calls = &stageCalls{reasons: map[string]int{}}
