--- a/pkg/discovery/shelf.go
+++ b/pkg/discovery/shelf.go
@@ -72,7 +72,7 @@
 
 // pack compresses a document.
 func pack(d Document) (*parcel, error) {
-	data, err := gzipcodec.Pack(d.Data)
+	data, err := gzipcodec.Compress(d.Data)
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/gzipcodec/gzipcodec.go
+++ b/pkg/gzipcodec/gzipcodec.go
@@ -12,8 +12,8 @@
 // ErrTooLarge means that the decompressed data exceeds the limit.
 var ErrTooLarge = errors.New("decompressed data exceeds the limit")
 
-// Pack compresses data with gzip at the fastest level.
-func Pack(data []byte) ([]byte, error) {
+// Compress compresses data with gzip at the fastest level.
+func Compress(data []byte) ([]byte, error) {
 	var packed bytes.Buffer
 	writer, err := gzip.NewWriterLevel(&packed, gzip.BestSpeed)
 	if err != nil {
--- a/pkg/gzipcodec/gzipcodec_test.go
+++ b/pkg/gzipcodec/gzipcodec_test.go
@@ -11,7 +11,7 @@
 
 func TestRoundTripWithinLimit(t *testing.T) {
 	data := bytes.Repeat([]byte("endpoint "), 1000)
-	compressed, err := gzipcodec.Pack(data)
+	compressed, err := gzipcodec.Compress(data)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/service/handover/packing.go
+++ b/service/handover/packing.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	data, err := gzipcodec.Pack(plain)
+	data, err := gzipcodec.Compress(plain)
 	if err != nil {
 		return nil, err
 	}
