--- a/pkg/discovery/shelf.go
+++ b/pkg/discovery/shelf.go
@@ -84,7 +84,7 @@
 	if digestOf(p.data) != p.digest {
 		return Document{}, problem.New(problem.Invalid, "take it from another peer", "the packed document of revision %d is not what its digest says", p.revision)
 	}
-	data, err := gzipcodec.Unpack(p.data, largestDocument)
+	data, err := gzipcodec.Decompress(p.data, largestDocument)
 	if errors.Is(err, gzipcodec.ErrTooLarge) {
 		return Document{}, problem.New(problem.Invalid, "write a smaller configuration", "the document of revision %d is larger than %d bytes", p.revision, largestDocument)
 	}
--- a/pkg/gzipcodec/gzipcodec.go
+++ b/pkg/gzipcodec/gzipcodec.go
@@ -28,9 +28,9 @@
 	return packed.Bytes(), nil
 }
 
-// Unpack decompresses data from Pack. It fails with ErrTooLarge if the result is larger
+// Decompress decompresses data from Pack. It fails with ErrTooLarge if the result is larger
 // than limit bytes.
-func Unpack(packed []byte, limit int64) ([]byte, error) {
+func Decompress(packed []byte, limit int64) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, err
--- a/service/handover/packing.go
+++ b/service/handover/packing.go
@@ -96,7 +96,7 @@
 	if len(data) == 0 {
 		return nil
 	}
-	plain, err := gzipcodec.Unpack(data, largestUnpacked)
+	plain, err := gzipcodec.Decompress(data, largestUnpacked)
 	if err == nil {
 		err = json.Unmarshal(plain, value)
 	}
