--- a/pkg/gzipcodec/gzipcodec.go
+++ b/pkg/gzipcodec/gzipcodec.go
@@ -14,8 +14,8 @@
 
 // Compress compresses data with gzip at the fastest level.
 func Compress(data []byte) ([]byte, error) {
-	var packed bytes.Buffer
-	writer, err := gzip.NewWriterLevel(&packed, gzip.BestSpeed)
+	var compressed bytes.Buffer
+	writer, err := gzip.NewWriterLevel(&compressed, gzip.BestSpeed)
 	if err != nil {
 		return nil, err
 	}
@@ -25,13 +25,13 @@
 	if err := writer.Close(); err != nil {
 		return nil, err
 	}
-	return packed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
 // Decompress decompresses data from Pack. It fails with ErrTooLarge if the result is larger
 // than limit bytes.
-func Decompress(packed []byte, limit int64) ([]byte, error) {
-	reader, err := gzip.NewReader(bytes.NewReader(packed))
+func Decompress(compressed []byte, limit int64) ([]byte, error) {
+	reader, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/logsummary/report.go
+++ b/pkg/logsummary/report.go
@@ -14,7 +14,7 @@
 // tail is the tail latency quantile in reports.
 const tail = 0.99
 
-// Write writes the account as tables, with durations in milliseconds.
+// Write writes the summary as tables, with durations in milliseconds.
 func (a *Summary) Write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	a.writeRequests(t)
--- a/pkg/logsummary/summary.go
+++ b/pkg/logsummary/summary.go
@@ -44,7 +44,7 @@
 	expected time.Duration
 }
 
-// New returns an empty account.
+// New returns an empty summary.
 func New() *Summary {
 	return &Summary{
 		requests:    map[requestKey]*sample{},
--- a/pkg/logsummary/summary_test.go
+++ b/pkg/logsummary/summary_test.go
@@ -31,7 +31,7 @@
 event="not ended
 `
 
-var _ = Describe("a log account", func() {
+var _ = Describe("a log summary", func() {
 	report := func(text string) []string {
 		GinkgoHelper()
 		a := logsummary.New()
