--- a/pkg/config/follower.go
+++ b/pkg/config/follower.go
@@ -213,7 +213,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go f.cancelWhenReplaced(ctx, cancel)
-	err = f.kv.Watch(ctx, HeadKey, version, func(value infra.Value) { f.offer(ctx, value) })
+	err = f.kv.Watch(ctx, HeadKey, version, func(value infra.Value) { f.applyHead(ctx, value) })
 	if ctx.Err() == nil {
 		f.recordReachability(err)
 	}
@@ -227,7 +227,7 @@
 	cancel()
 }
 
-func (f *Follower) offer(ctx context.Context, value infra.Value) {
+func (f *Follower) applyHead(ctx context.Context, value infra.Value) {
 	if err := f.store.ApplyHead(ctx, value); err != nil {
 		f.Log.WithField("event", "offer_failed").Warn(err)
 	}
--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -26,16 +26,16 @@
 		a, b = newClient(address), newClient(address)
 	})
 
-	weight := func(o *client, name string) uint32 {
+	weight := func(c *client, name string) uint32 {
 		GinkgoHelper()
-		organisation := o.replica.Current().Organisation(name)
+		organisation := c.replica.Current().Organisation(name)
 		Expect(organisation).NotTo(BeNil())
 		return organisation.Weight
 	}
 
-	refresh := func(o *client) {
+	refresh := func(c *client) {
 		GinkgoHelper()
-		_, _, err := o.store.Refresh(context.Background())
+		_, _, err := c.store.Refresh(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 	}
 
@@ -109,9 +109,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		var wg sync.WaitGroup
 		errs := make([]error, 2)
-		for i, o := range []*client{a, b} {
+		for i, c := range []*client{a, b} {
 			wg.Go(func() {
-				_, errs[i] = o.submit(fmt.Sprintf("race-%d", i), withBase(putOrganisation("huila", uint32(10+i)), 1))
+				_, errs[i] = c.submit(fmt.Sprintf("race-%d", i), withBase(putOrganisation("huila", uint32(10+i)), 1))
 			})
 		}
 		wg.Wait()
@@ -131,8 +131,8 @@
 		for i := range changes {
 			wg.Go(func() {
 				defer GinkgoRecover()
-				o := []*client{a, b}[i%2]
-				_, err := o.submit(fmt.Sprintf("c-%d", i), putOrganisation(fmt.Sprintf("org-%d", i), 1))
+				c := []*client{a, b}[i%2]
+				_, err := c.submit(fmt.Sprintf("c-%d", i), putOrganisation(fmt.Sprintf("org-%d", i), 1))
 				Expect(err).NotTo(HaveOccurred())
 			})
 		}
--- a/pkg/config/suite_test.go
+++ b/pkg/config/suite_test.go
@@ -38,22 +38,22 @@
 // minSubmitTimeout, of each submission.
 func newClientWithTimeout(address string, timeout time.Duration) *client {
 	kv := etcdkv.New(address, timeout)
-	o := &client{replica: config.NewReplica(), submitTimeout: max(minSubmitTimeout, timeout)}
-	o.store = config.NewStore(kv, o.replica)
-	o.submitter = config.NewSubmitter(o.store)
+	c := &client{replica: config.NewReplica(), submitTimeout: max(minSubmitTimeout, timeout)}
+	c.store = config.NewStore(kv, c.replica)
+	c.submitter = config.NewSubmitter(c.store)
 	ctx, cancel := context.WithCancel(context.Background())
-	go o.submitter.Run(ctx)
+	go c.submitter.Run(ctx)
 	DeferCleanup(func() {
 		cancel()
 		kv.Close()
 	})
-	return o
+	return c
 }
 
-func (o *client) submit(id string, operations ...config.Operation) (config.Result, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), o.submitTimeout)
+func (c *client) submit(id string, operations ...config.Operation) (config.Result, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), c.submitTimeout)
 	defer cancel()
-	return o.submitter.Submit(ctx, config.NewChange(id, "tester", time.UnixMilli(1), operations...))
+	return c.submitter.Submit(ctx, config.NewChange(id, "tester", time.UnixMilli(1), operations...))
 }
 
 func newService() (*standin.KeyValue, string) {
--- a/pkg/gzipcodec/gzipcodec.go
+++ b/pkg/gzipcodec/gzipcodec.go
@@ -28,7 +28,7 @@
 	return compressed.Bytes(), nil
 }
 
-// Decompress decompresses data from Pack. It fails with ErrTooLarge if the result is larger
+// Decompress decompresses data from Compress. It fails with ErrTooLarge if the result is larger
 // than limit bytes.
 func Decompress(compressed []byte, limit int64) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(compressed))
--- a/pkg/trace/generate.go
+++ b/pkg/trace/generate.go
@@ -46,11 +46,11 @@
 
 // scenario describes how a trace is generated.
 type scenario struct {
-	name     string
-	about    string
-	expected Expected
-	loads    func(f Fleet, capacity, narrow float64) []load
-	switches func(f Fleet) []Entry
+	name         string
+	about        string
+	expected     Expected
+	loads        func(f Fleet, capacity, shortCapacity float64) []load
+	stateChanges func(f Fleet) []Entry
 }
 
 func constant(pipeline int, perSecond float64) load {
@@ -66,22 +66,22 @@
 	{
 		name: Steady, about: "both pipelines well under capacity",
 		expected: Expected{MinAttainment: 0.98, MinMargin: 0, MaxWasteRatio: 1},
-		loads: func(_ Fleet, capacity, narrow float64) []load {
-			return []load{constant(0, 0.55*capacity), constant(1, 0.15*narrow)}
+		loads: func(_ Fleet, capacity, shortCapacity float64) []load {
+			return []load{constant(0, 0.55*capacity), constant(1, 0.15*shortCapacity)}
 		},
 	},
 	{
 		name: DawnBurst, about: "the main pipeline at twice the capacity of generation for a second and a half",
 		expected: Expected{MinAttainment: 0.55, MinMargin: 0.08, MaxWasteRatio: 0.34},
-		loads: func(_ Fleet, capacity, narrow float64) []load {
-			return []load{during(constant(0, 0.4*capacity), 0, 500), during(constant(0, 2*capacity), 500, 2000), during(constant(0, 0.4*capacity), 2000, lengthMs), constant(1, 0.1*narrow)}
+		loads: func(_ Fleet, capacity, shortCapacity float64) []load {
+			return []load{during(constant(0, 0.4*capacity), 0, 500), during(constant(0, 2*capacity), 500, 2000), during(constant(0, 0.4*capacity), 2000, lengthMs), constant(1, 0.1*shortCapacity)}
 		},
 	},
 	{
 		name: ComplaintWave, about: "the short pipeline at one and a half times the capacity of encoders and rerankers",
 		expected: Expected{MinAttainment: 0.55, MinMargin: 0.1, MaxWasteRatio: 0.34},
-		loads: func(_ Fleet, capacity, narrow float64) []load {
-			return []load{constant(0, 0.3*capacity), during(constant(1, 1.5*narrow), 300, 2000)}
+		loads: func(_ Fleet, capacity, shortCapacity float64) []load {
+			return []load{constant(0, 0.3*capacity), during(constant(1, 1.5*shortCapacity), 300, 2000)}
 		},
 	},
 	{
@@ -96,12 +96,12 @@
 	{
 		name: SlowEndpoint, about: "one engine and one encoder answer ten times slower",
 		expected: Expected{MinAttainment: 0.9, MinMargin: 0.01, MaxWasteRatio: 1},
-		loads: func(_ Fleet, capacity, narrow float64) []load {
-			return []load{constant(0, 0.75*capacity), constant(1, 0.15*narrow)}
+		loads: func(_ Fleet, capacity, shortCapacity float64) []load {
+			return []load{constant(0, 0.75*capacity), constant(1, 0.15*shortCapacity)}
 		},
-		switches: func(f Fleet) []Entry {
+		stateChanges: func(f Fleet) []Entry {
 			slow := standin.EndpointState{Faults: standin.EndpointFaults{Slow: 10}}
-			return []Entry{at(300, slow, f.names(config.Generation, 1)...), at(300, slow, f.names(config.Encoding, 1)...)}
+			return []Entry{stateChangeAt(300, slow, f.names(config.Generation, 1)...), stateChangeAt(300, slow, f.names(config.Encoding, 1)...)}
 		},
 	},
 	{
@@ -110,9 +110,9 @@
 		loads: func(_ Fleet, capacity, _ float64) []load {
 			return []load{constant(0, 0.7*capacity)}
 		},
-		switches: func(f Fleet) []Entry {
+		stateChanges: func(f Fleet) []Entry {
 			dying := slices.Concat(f.names(config.Retrieval, f.service(config.Retrieval).Endpoints/2), f.names(config.Generation, f.service(config.Generation).Endpoints/5))
-			return []Entry{at(500, standin.EndpointState{Dead: true}, dying...), at(1500, standin.EndpointState{}, dying...)}
+			return []Entry{stateChangeAt(500, standin.EndpointState{Dead: true}, dying...), stateChangeAt(1500, standin.EndpointState{}, dying...)}
 		},
 	},
 	{
@@ -121,9 +121,9 @@
 		loads: func(_ Fleet, capacity, _ float64) []load {
 			return []load{constant(0, 0.75*capacity)}
 		},
-		switches: func(f Fleet) []Entry {
+		stateChanges: func(f Fleet) []Entry {
 			lost := f.inDomain(len(f.Domains) - 1)
-			return []Entry{at(600, standin.EndpointState{Dead: true}, lost...), at(1600, standin.EndpointState{}, lost...)}
+			return []Entry{stateChangeAt(600, standin.EndpointState{Dead: true}, lost...), stateChangeAt(1600, standin.EndpointState{}, lost...)}
 		},
 	},
 	{
@@ -141,9 +141,9 @@
 		loads: func(_ Fleet, capacity, _ float64) []load {
 			return []load{during(constant(0, 1.3*capacity), 0, 500), during(constant(0, 0.5*capacity), 500, 1200), during(constant(0, 1.3*capacity), 1200, 1700), during(constant(0, 0.5*capacity), 1700, lengthMs)}
 		},
-		switches: func(f Fleet) []Entry {
+		stateChanges: func(f Fleet) []Entry {
 			stale := standin.EndpointState{Faults: standin.EndpointFaults{StaleLoadMs: 2000}}
-			return []Entry{at(0, stale, f.names(config.Generation, f.service(config.Generation).Endpoints)...)}
+			return []Entry{stateChangeAt(0, stale, f.names(config.Generation, f.service(config.Generation).Endpoints)...)}
 		},
 	},
 	{
@@ -166,7 +166,7 @@
 	return names
 }
 
-func at(ms float64, state standin.EndpointState, endpoints ...string) Entry {
+func stateChangeAt(ms float64, state standin.EndpointState, endpoints ...string) Entry {
 	return Entry{AtMs: ms, StateChange: &StateChange{Endpoints: endpoints, State: state}}
 }
 
@@ -210,8 +210,8 @@
 
 func (g *generator) trace(r scenario) *Trace {
 	t := &Trace{Header: Header{Fleet: g.fleet.Name, Name: r.name, About: r.about, Expected: r.expected}}
-	if r.switches != nil {
-		t.Entries = r.switches(g.fleet)
+	if r.stateChanges != nil {
+		t.Entries = r.stateChanges(g.fleet)
 	}
 	for _, l := range r.loads(g.fleet, g.fleet.capacity(g.fleet.Pipelines[0]), g.fleet.capacity(g.fleet.Pipelines[1])) {
 		t.Entries = append(t.Entries, g.requests(l)...)
