--- a/pkg/config/configuration.go
+++ b/pkg/config/configuration.go
@@ -51,8 +51,8 @@
 	Keys     []string `json:"keys"`
 }
 
-// Stored is an object with the revision of its last write.
-type Stored struct {
+// StoredObject is an object with the revision of its last write.
+type StoredObject struct {
 	Object   Object `json:"object"`
 	Revision uint64 `json:"revision"`
 }
@@ -65,7 +65,7 @@
 	digest uint64
 	// objects is indexed by kind and name. The maps of kinds that a change does
 	// not modify are shared with the previous configuration.
-	objects map[Kind]map[string]Stored
+	objects map[Kind]map[string]StoredObject
 	// accepted holds the last HistoryLength changes, oldest first.
 	accepted []AcceptedChange
 }
@@ -75,7 +75,7 @@
 const HistoryLength = 20_000
 
 // Empty returns the configuration of revision 0.
-func Empty() *Configuration { return &Configuration{objects: map[Kind]map[string]Stored{}} }
+func Empty() *Configuration { return &Configuration{objects: map[Kind]map[string]StoredObject{}} }
 
 // Revision returns the number of changes applied up to c.
 func (c *Configuration) Revision() uint64 { return c.revision }
@@ -93,7 +93,7 @@
 }
 
 // Get returns the object with the given key.
-func (c *Configuration) Get(key Key) (Stored, bool) {
+func (c *Configuration) Get(key Key) (StoredObject, bool) {
 	s, ok := c.objects[key.Kind][key.Name]
 	return s, ok
 }
@@ -213,7 +213,7 @@
 }
 
 // conflictText formats both versions of a conflicting object.
-func conflictText(op Operation, current Stored) string {
+func conflictText(op Operation, current StoredObject) string {
 	yours, _ := json.Marshal(op.Put)
 	theirs, _ := json.Marshal(current.Object)
 	base, _ := json.Marshal(*op.Base)
@@ -257,7 +257,7 @@
 		cloned[kind] = true
 		c.objects[kind] = maps.Clone(c.objects[kind])
 		if c.objects[kind] == nil {
-			c.objects[kind] = map[string]Stored{}
+			c.objects[kind] = map[string]StoredObject{}
 		}
 	}
 }
@@ -269,7 +269,7 @@
 	}
 	objects := c.objects[key.Kind]
 	if op.Put != nil {
-		objects[key.Name] = Stored{Object: *op.Put, Revision: revision}
+		objects[key.Name] = StoredObject{Object: *op.Put, Revision: revision}
 		return nil
 	}
 	if _, ok := objects[key.Name]; !ok {
--- a/pkg/config/record.go
+++ b/pkg/config/record.go
@@ -51,7 +51,7 @@
 type snapshot struct {
 	Revision uint64           `json:"revision"`
 	Digest   uint64           `json:"digest,string"`
-	Objects  []Stored         `json:"objects"`
+	Objects  []StoredObject   `json:"objects"`
 	Accepted []AcceptedChange `json:"accepted"`
 }
 
@@ -113,11 +113,11 @@
 	if err := json.NewDecoder(io.LimitReader(r, maxSnapshot)).Decode(&s); err != nil {
 		return nil, corruptSnapshot(err)
 	}
-	c := &Configuration{revision: s.Revision, digest: s.Digest, objects: map[Kind]map[string]Stored{}, accepted: s.Accepted}
+	c := &Configuration{revision: s.Revision, digest: s.Digest, objects: map[Kind]map[string]StoredObject{}, accepted: s.Accepted}
 	for _, stored := range s.Objects {
 		key := stored.Object.Key()
 		if c.objects[key.Kind] == nil {
-			c.objects[key.Kind] = map[string]Stored{}
+			c.objects[key.Kind] = map[string]StoredObject{}
 		}
 		c.objects[key.Kind][key.Name] = stored
 	}
--- a/pkg/measure/replay.go
+++ b/pkg/measure/replay.go
@@ -66,7 +66,7 @@
 	req := connect.NewRequest(&pb.ApplyRequest{ChangeId: "measure", Author: "measure"})
 	req.Header().Set("Authorization", "Bearer "+operatorsToken)
 	for _, object := range p.Fleet.Objects() {
-		op := &pb.Operation{Action: &pb.Operation_Put{Put: convert.Object(config.Stored{Object: object})}}
+		op := &pb.Operation{Action: &pb.Operation_Put{Put: convert.Object(config.StoredObject{Object: object})}}
 		req.Msg.Operations = append(req.Msg.Operations, op)
 	}
 	client := cobaltcroftv1connect.NewOperatorsClient(p.client, "http://"+p.Setup.Operators[0])
--- a/service/convert/objects.go
+++ b/service/convert/objects.go
@@ -77,7 +77,7 @@
 }
 
 // Object returns the wire form of a stored object.
-func Object(stored config.Stored) *pb.Object {
+func Object(stored config.StoredObject) *pb.Object {
 	wire := &pb.Object{Revision: stored.Revision}
 	switch o := stored.Object; {
 	case o.Pipeline != nil:
