--- a/pkg/logsummary/report.go
+++ b/pkg/logsummary/report.go
@@ -15,28 +15,28 @@
 const tail = 0.99
 
 // Write writes the summary as tables, with durations in milliseconds.
-func (a *Summary) Write(w io.Writer) error {
+func (sum *Summary) Write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	a.writeRequests(t)
-	a.writePlans(t)
-	a.writeCalls(t)
-	a.writeSourceCalls(t)
-	a.writeDecisions(t)
-	row(t, "\nlines that do not parse:", a.malformed)
+	sum.writeRequests(t)
+	sum.writePlans(t)
+	sum.writeCalls(t)
+	sum.writeSourceCalls(t)
+	sum.writeDecisions(t)
+	row(t, "\nlines that do not parse:", sum.malformed)
 	return t.Flush()
 }
 
-func (a *Summary) writeRequests(w io.Writer) {
+func (sum *Summary) writeRequests(w io.Writer) {
 	total := map[string]int{}
-	for key, s := range a.requests {
+	for key, s := range sum.requests {
 		total[key.route] += s.count()
 	}
 	row(w, "ROUTE", "OUTCOME", "REQUESTS", "SHARE", "MEDIAN MS", "P99 MS", "")
-	keys := slices.SortedFunc(maps.Keys(a.requests), func(x, y requestKey) int {
+	keys := slices.SortedFunc(maps.Keys(sum.requests), func(x, y requestKey) int {
 		return cmp.Or(cmp.Compare(x.route, y.route), cmp.Compare(x.outcome, y.outcome))
 	})
 	for _, key := range keys {
-		s := a.requests[key]
+		s := sum.requests[key]
 		note := ""
 		if key.outcome != served {
 			note = "not served"
@@ -45,41 +45,41 @@
 	}
 }
 
-func (a *Summary) writePlans(w io.Writer) {
+func (sum *Summary) writePlans(w io.Writer) {
 	row(w, "\nSTAGES OF A REQUEST", "REQUESTS", "MEDIAN MS", "P99 MS")
-	for _, reason := range slices.Sorted(maps.Keys(a.plans)) {
-		s := a.plans[reason]
+	for _, reason := range slices.Sorted(maps.Keys(sum.plans)) {
+		s := sum.plans[reason]
 		row(w, reason, s.count(), ms(s.quantile(0.5)), ms(s.quantile(tail)))
 	}
 }
 
-func (a *Summary) writeCalls(w io.Writer) {
+func (sum *Summary) writeCalls(w io.Writer) {
 	row(w, "\nCALLS TO", "CALLS", "PIECES A CALL", "MEDIAN MS", "P99 MS", "OVER EXPECTED", "NOT MADE", "WHY NOT")
-	for _, service := range slices.Sorted(maps.Keys(a.calls)) {
-		c := a.calls[service]
+	for _, service := range slices.Sorted(maps.Keys(sum.calls)) {
+		c := sum.calls[service]
 		row(w, service, c.took.count(), fmt.Sprintf("%.1f", float64(c.pieces)/float64(c.took.count())),
 			ms(c.took.quantile(0.5)), ms(c.took.quantile(tail)), share(int(c.overrun), int(c.expected)), c.notMade, counts(c.reasons))
 	}
 }
 
-func (a *Summary) writeSourceCalls(w io.Writer) {
+func (sum *Summary) writeSourceCalls(w io.Writer) {
 	row(w, "\nSOURCE ASKED FOR", "BY A", "CALLS", "MEDIAN MS", "P99 MS")
-	keys := slices.SortedFunc(maps.Keys(a.sourceCalls), func(x, y sourceKey) int {
+	keys := slices.SortedFunc(maps.Keys(sum.sourceCalls), func(x, y sourceKey) int {
 		return cmp.Or(cmp.Compare(x.of, y.of), cmp.Compare(x.call, y.call))
 	})
 	for _, key := range keys {
-		s := a.sourceCalls[key]
+		s := sum.sourceCalls[key]
 		row(w, key.of, key.call, s.count(), ms(s.quantile(0.5)), ms(s.quantile(tail)))
 	}
 }
 
-func (a *Summary) writeDecisions(w io.Writer) {
+func (sum *Summary) writeDecisions(w io.Writer) {
 	row(w, "\nCHANGE OF", "CAUSE", "TIMES")
-	keys := slices.SortedFunc(maps.Keys(a.decisions), func(x, y decisionKey) int {
+	keys := slices.SortedFunc(maps.Keys(sum.decisions), func(x, y decisionKey) int {
 		return cmp.Or(cmp.Compare(x.event, y.event), cmp.Compare(x.cause, y.cause))
 	})
 	for _, key := range keys {
-		row(w, key.event, key.cause, a.decisions[key].count())
+		row(w, key.event, key.cause, sum.decisions[key].count())
 	}
 }
 
--- a/pkg/logsummary/summary.go
+++ b/pkg/logsummary/summary.go
@@ -60,16 +60,16 @@
 
 // Read adds the lines of one or more logs. Text before the first key-value pair of a line, such as
 // a prefix from a log collector, is ignored. Malformed lines are skipped and counted.
-func (a *Summary) Read(r io.Reader) error {
+func (sum *Summary) Read(r io.Reader) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLine)
 	for lines.Scan() {
 		line, err := parse(lines.Bytes())
 		if err != nil {
-			a.malformed++
+			sum.malformed++
 			continue
 		}
-		a.add(line)
+		sum.add(line)
 	}
 	if err := lines.Err(); err != nil {
 		return problem.Wrap(err, problem.Invalid, "give a readable log with lines of up to a megabyte", "failed to read log")
@@ -105,34 +105,34 @@
 }
 
 // add aggregates a line.
-func (a *Summary) add(line fields) {
+func (sum *Summary) add(line fields) {
 	switch event := line["event"]; event {
 	case "request":
-		sampleOf(a.requests, requestKey{line["route"], line["outcome"]}).add(line.ms("ms"))
+		sampleOf(sum.requests, requestKey{line["route"], line["outcome"]}).add(line.ms("ms"))
 	case "stages":
 		reason := line["reason"]
 		if reason == "" {
 			reason = "made"
 		}
-		sampleOf(a.plans, reason).add(line.ms("ms"))
+		sampleOf(sum.plans, reason).add(line.ms("ms"))
 	case "stage_call":
-		a.addCall(line)
+		sum.addCall(line)
 	case "source_call", "source_call_failed":
 		call := line["call"]
 		if event == "source_call_failed" {
 			call += " failed"
 		}
-		sampleOf(a.sourceCalls, sourceKey{line["of"], call}).add(line.ms("ms"))
+		sampleOf(sum.sourceCalls, sourceKey{line["of"], call}).add(line.ms("ms"))
 	case "owner", "division":
-		sampleOf(a.decisions, decisionKey{event, line["cause"]}).add(0)
+		sampleOf(sum.decisions, decisionKey{event, line["cause"]}).add(0)
 	}
 }
 
-func (a *Summary) addCall(line fields) {
-	calls := a.calls[line["service"]]
+func (sum *Summary) addCall(line fields) {
+	calls := sum.calls[line["service"]]
 	if calls == nil {
 		calls = &stageCalls{reasons: map[string]int{}}
-		a.calls[line["service"]] = calls
+		sum.calls[line["service"]] = calls
 	}
 	took, expected := line.ms("ms"), line.ms("expected_ms")
 	calls.took.add(took)
