--- a/cmd/cobaltcroftd/daemon/faces.go
+++ b/cmd/cobaltcroftd/daemon/faces.go
@@ -116,7 +116,7 @@
 	return traffic.Options{
 		Instance:    s.base.settings.Instance,
 		View:        s.control.View,
-		Leaving:     s.control.Leaving,
+		OnLeaving:   s.control.ReportLeaving,
 		Caller:      s.client,
 		Clock:       s.base.clock,
 		Ring:        s.base.ring,
@@ -209,7 +209,7 @@
 	b := s.traffic.base
 	b.stopping.Store(true)
 	b.ring.Add(timeline.Event{Kind: timeline.InstanceStopping})
-	s.traffic.control.Stopping()
+	s.traffic.control.AnnounceLeaving()
 	s.face.SetUnready()
 	time.Sleep(leaveTime)
 	s.face.RejectRequests()
@@ -248,7 +248,7 @@
 		Submitter:         trafficService.config.submitter,
 		Replica:           trafficService.config.replica,
 		Control:           trafficService.control.Control,
-		PlatformReachable: trafficService.config.follower.Reached,
+		PlatformReachable: trafficService.config.follower.ServiceReachable,
 		OwnStatus:         trafficService.Status,
 		SelectEvents: func(selection api.TimelineRequest) api.TimelineResponse {
 			return peers.SelectEvents(b.ring, b.settings.Instance, selection)
--- a/cmd/cobaltcroftd/daemon/services.go
+++ b/cmd/cobaltcroftd/daemon/services.go
@@ -163,7 +163,7 @@
 	for t.Alive() {
 		listed, unchanged, err := list.List(ctx)
 		if err == nil {
-			s.SetListed(listed, unchanged)
+			s.UpdateInstanceList(listed, unchanged)
 		}
 		if ctx.Err() == nil && reached != (err == nil) {
 			reached = err == nil
@@ -225,7 +225,7 @@
 	store := config.NewStore(platformService.keyValue, s.replica)
 	s.submitter = config.NewSubmitter(store)
 	s.follower = config.NewFollower(followerOptions(b, control, peersService), store)
-	behind := func(peer membership.Instance) { s.follower.Behind(peerOf(peer)) }
+	behind := func(peer membership.Instance) { s.follower.SchedulePull(peerOf(peer)) }
 	peersService.behind.Store(&behind)
 	t.Go(func() error {
 		s.submitter.Run(t.Context(context.Background()))
@@ -242,7 +242,7 @@
 		Puller:      peersService.client,
 		Timeout:     2 * b.settings.Platform.Timeout.Std(),
 		AntiEntropy: b.settings.Timings.AntiEntropy.Std(),
-		Confirmed:   control.Confirm,
+		OnConfirmed: control.Confirm,
 		Clock:       b.clock,
 		Ring:        b.ring,
 		Log:         b.logs.For("config"),
--- a/pkg/discovery/document_cache.go
+++ b/pkg/discovery/document_cache.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/jonboulle/clockwork"
 
-	"github.com/cobaltcroft/cobaltcroft/pkg/packed"
+	"github.com/cobaltcroft/cobaltcroft/pkg/gzipcodec"
 	"github.com/cobaltcroft/cobaltcroft/pkg/problem"
 )
 
@@ -71,7 +71,7 @@
 }
 
 func pack(d Document) (*packedDocument, error) {
-	data, err := packed.Pack(d.Data)
+	data, err := gzipcodec.Compress(d.Data)
 	if err != nil {
 		return nil, err
 	}
@@ -83,8 +83,8 @@
 	if digestOf(p.data) != p.digest {
 		return Document{}, problem.New(problem.Invalid, "fetch it from another peer", "digest mismatch in the compressed document of revision %d", p.revision)
 	}
-	data, err := packed.Unpack(p.data, maxDocumentSize)
-	if errors.Is(err, packed.ErrTooLarge) {
+	data, err := gzipcodec.Decompress(p.data, maxDocumentSize)
+	if errors.Is(err, gzipcodec.ErrTooLarge) {
 		return Document{}, problem.New(problem.Invalid, "write a smaller configuration", "the document of revision %d is larger than %d bytes", p.revision, maxDocumentSize)
 	}
 	if err != nil {
--- a/service/convert/objects.go
+++ b/service/convert/objects.go
@@ -77,7 +77,7 @@
 }
 
 // Object converts a stored object to its wire form.
-func Object(stored config.Stored) *pb.Object {
+func Object(stored config.StoredObject) *pb.Object {
 	wire := &pb.Object{Revision: stored.Revision}
 	switch o := stored.Object; {
 	case o.Pipeline != nil:
@@ -106,7 +106,7 @@
 }
 
 // Change converts an accepted change to its wire form.
-func Change(a config.Accepted) *pb.Change {
+func Change(a config.AcceptedChange) *pb.Change {
 	return &pb.Change{ChangeId: a.ID, Revision: a.Revision, Author: a.Author, TimeUnixMs: a.TimeMs, Keys: a.Keys}
 }
 
--- a/service/operators/operators.go
+++ b/service/operators/operators.go
@@ -155,7 +155,7 @@
 	if limit == 0 {
 		limit = defaultHistory
 	}
-	accepted := s.Replica.Current().Accepted()
+	accepted := s.Replica.Current().History()
 	resp := &pb.HistoryResponse{}
 	for _, a := range accepted[max(0, len(accepted)-limit):] {
 		resp.Changes = append(resp.Changes, convert.Change(a))
--- a/service/peers/gossip.go
+++ b/service/peers/gossip.go
@@ -73,8 +73,8 @@
 	g.sent.Add(n)
 }
 
-// Behind implements control.Peers.
-func (g *Gossip) Behind(peer membership.Instance, revision uint64) { g.onBehind(peer, revision) }
+// NotifyBehind implements control.Peers.
+func (g *Gossip) NotifyBehind(peer membership.Instance, revision uint64) { g.onBehind(peer, revision) }
 
 // Listener receives heartbeats.
 type Listener interface {
