--- a/service/handover/instance_test.go
+++ b/service/handover/instance_test.go
@@ -408,11 +408,13 @@
 			g[k] = restarted
 			continue
 		}
+		i.mu.Lock()
 		for m := range i.members {
 			if i.members[m].Name == old.self.Name {
 				i.members[m] = membership.Member{Instance: restarted.self, State: membership.Live}
 			}
 		}
+		i.mu.Unlock()
 	}
 	return restarted
 }
