--- a/cmd/cobaltcroftd/gateway/quarantine_test.go
+++ b/cmd/cobaltcroftd/gateway/quarantine_test.go
@@ -255,6 +255,7 @@
 		for n := range 3 {
 			e := d.EnginesOf("simple")[n]
 			Eventually(status).Should(Equal(http.StatusOK))
+			Eventually(e.ActiveRequests).Should(BeZero())
 			e.QueueFaults(platformtest.Hang)
 			cut := make(chan answer, 1)
 			go func() { cut <- same() }()
