--- a/pkg/traffic/suite_test.go
+++ b/pkg/traffic/suite_test.go
@@ -172,13 +172,41 @@
 		Shares:      ratelimit.NewSplitter(clock),
 		MaxInFlight: 100,
 	})
+	stopTicks := b.tickPools(clock)
 	return b, func() {
 		b.executor.Close()
+		stopTicks()
 		client.Close()
 		b.site.Close()
 	}
 }
 
+// tickPools ticks the pools until the returned function is called, as the control goroutine does in
+// an instance. Without it, a request that waits for an ejected endpoint is not woken when the
+// ejection ends.
+func (b *bench) tickPools(clock clockwork.Clock) (stop func()) {
+	ticker := clock.NewTicker(20 * time.Millisecond)
+	done := make(chan struct{})
+	var wg sync.WaitGroup
+	wg.Go(func() {
+		for {
+			select {
+			case now := <-ticker.Chan():
+				for _, pool := range b.pools {
+					pool.Tick(now)
+				}
+			case <-done:
+				return
+			}
+		}
+	})
+	return func() {
+		ticker.Stop()
+		close(done)
+		wg.Wait()
+	}
+}
+
 func (b *bench) view() *control.View {
 	change := config.Change{ID: "c", Revision: 1}
 	put := func(o config.Object) {
