--- a/pkg/rollout/manager.go
+++ b/pkg/rollout/manager.go
@@ -38,7 +38,7 @@
 	// Read returns the record of a service.
 	Read(ctx context.Context, service string) (Record, error)
 	// Write replaces the record of a service if it still has the revision after, and returns the
-	// new revision. Otherwise it fails with ErrOvertaken.
+	// new revision. Otherwise it fails with ErrConflict.
 	Write(ctx context.Context, service string, after uint64, state State, version string) (uint64, error)
 }
 
--- a/service/handover/owners.go
+++ b/service/handover/owners.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	// minSuspicion and lastSuspect bound how long an unresponsive owner is skipped. The time
+	// minSuspicion and maxSuspicion bound how long an unresponsive owner is skipped. The time
 	// doubles with each consecutive failure.
 	minSuspicion = 2 * time.Second
 	maxSuspicion = 20 * time.Second
